--- a/Makefile
+++ b/Makefile
@@ -13,8 +13,7 @@
 lint:
 	clang-format --dry-run -Werror $$(git ls-files '*.h' '*.cpp')
 	cppcheck --quiet -j4 --std=c++20 --language=c++ --inline-suppr --enable=warning,performance,portability \
-	  --suppress=assertWithSideEffect --error-exitcode=1 -I include -I . cli deployment fleet include language load_test \
-	  operations routing serving sidecar simulator_adapter site src testing tests
+	  --suppress=assertWithSideEffect --error-exitcode=1 -I include -I . include src tools testing tests
 
 run: build
 	BALANCER_CONFIG=examples/sidecar.json $(BUILD)/puffinvane
@@ -45,12 +44,12 @@
 fuzz:
 	mkdir -p $(BUILD)-fuzz/corpus
 	clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -DPUFFINVANE_LIBFUZZER -I. -Iinclude \
-	  language/*.cpp site/*.cpp routing/*.cpp language/tests/fuzz.cpp -o $(BUILD)-fuzz/language
-	$(BUILD)-fuzz/language -max_total_time=$(FUZZ_SECONDS) -max_len=4096 -dict=language/corpus/words.dict \
-	  -print_final_stats=1 $(BUILD)-fuzz/corpus language/corpus/good language/corpus/bad
+	  $$(ls src/config/language/*.cpp src/config/site/*.cpp src/routing/routing.cpp | grep -v _test) -o $(BUILD)-fuzz/language
+	$(BUILD)-fuzz/language -max_total_time=$(FUZZ_SECONDS) -max_len=4096 -dict=src/config/language/corpus/words.dict \
+	  -print_final_stats=1 $(BUILD)-fuzz/corpus src/config/language/corpus/good src/config/language/corpus/bad
 
 # What finding a route costs, from 10 routes to 10,000.
 routing-cost: build
-	$(BUILD)/routing/tests/routing_cost --benchmark_repetitions=5 --benchmark_report_aggregates_only=true
+	$(BUILD)/src/routing/routing_cost --benchmark_repetitions=5 --benchmark_report_aggregates_only=true
 
 .PHONY: build test lint run example-upstreams load-test-table load-test-steady load-test-hunt load-test-cost scale fuzz routing-cost
--- a/sidecar/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/admin/admin_api.h"
+#include "src/admin/admin_api.h"
 
 #include <algorithm>
 
--- a/sidecar/admin/admin_api.h
+++ b/src/admin/admin_api.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
-#include "operations/operations.h"
-#include "sidecar/wire/downstream_connections.h"
-#include "sidecar/wire/listener.h"
+#include "src/admin/operations.h"
+#include "src/net/listener.h"
+#include "src/proxy/downstream_connections.h"
 
 namespace puffinvane {
 
--- a/operations/operations.cpp
+++ b/src/admin/operations.cpp
@@ -1,4 +1,4 @@
-#include "operations/operations.h"
+#include "src/admin/operations.h"
 
 namespace puffinvane {
 
--- a/operations/tests/operations.cpp
+++ b/src/admin/operations_test.cpp
@@ -1,6 +1,6 @@
 // Tests of what operators ordered, without a socket: a host that writes down what it is asked for.
 #undef NDEBUG
-#include "operations/operations.h"
+#include "src/admin/operations.h"
 
 #include <cassert>
 #include <set>
--- a/sidecar/shadow/shadow_policy.cpp
+++ b/src/admin/shadow_policy.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/shadow/shadow_policy.h"
+#include "src/admin/shadow_policy.h"
 
 #include <algorithm>
 #include <utility>
--- a/sidecar/shadow/shadow_policy.h
+++ b/src/admin/shadow_policy.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "sidecar/wire/request_forwarder.h"
+#include "src/proxy/request_forwarder.h"
 
 namespace puffinvane {
 
--- a/sidecar/admin/telemetry.cpp
+++ b/src/admin/telemetry.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/admin/telemetry.h"
+#include "src/admin/telemetry.h"
 
 namespace puffinvane {
 
--- a/sidecar/admin/telemetry.h
+++ b/src/admin/telemetry.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fleet.h"
 #include "puffinvane/policy.h"
-#include "sidecar/memory/figures.h"
+#include "src/fleet/fleet.h"
+#include "src/proxy/figures.h"
 
 namespace puffinvane {
 
--- a/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -1,4 +1,4 @@
-#include "cli/cli.h"
+#include "src/cli/cli.h"
 
 #include <unistd.h>
 
@@ -9,12 +9,12 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "cli/fleet.h"
-#include "language/quantity.h"
-#include "language/read.h"
-#include "language/tree.h"
-#include "routing/routing.h"
-#include "serving/server.h"
+#include "src/cli/fleet.h"
+#include "src/config/language/quantity.h"
+#include "src/config/language/read.h"
+#include "src/config/language/tree.h"
+#include "src/routing/routing.h"
+#include "src/server/server.h"
 
 namespace puffinvane::cli {
 
--- a/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -1,4 +1,4 @@
-#include "cli/fleet.h"
+#include "src/cli/fleet.h"
 
 #include <gio/gio.h>
 
@@ -11,7 +11,7 @@
 #include <optional>
 #include <thread>
 
-#include "sidecar/loop/glib.h"
+#include "src/net/glib.h"
 
 namespace puffinvane::cli {
 
--- a/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,3 +1,3 @@
-#include "cli/cli.h"
+#include "src/cli/cli.h"
 
 int main(int count, char** words) { return puffinvane::cli::run(count, words); }
--- a/language/tests/corpus.cpp
+++ b/src/config/language/corpus_test.cpp
@@ -8,8 +8,8 @@
 #include <map>
 #include <sstream>
 
-#include "language/read.h"
-#include "language/tree.h"
+#include "src/config/language/read.h"
+#include "src/config/language/tree.h"
 
 using namespace puffinvane;
 using namespace puffinvane::language;
--- a/language/format.cpp
+++ b/src/config/language/format.cpp
@@ -1,4 +1,4 @@
-#include "language/tree.h"
+#include "src/config/language/tree.h"
 
 namespace puffinvane::language {
 
--- a/language/tests/fuzz.cpp
+++ b/src/config/language/language_fuzz.cpp
@@ -9,9 +9,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "language/read.h"
-#include "language/tree.h"
-#include "routing/routing.h"
+#include "src/config/language/read.h"
+#include "src/config/language/tree.h"
+#include "src/routing/routing.h"
 
 using namespace puffinvane;
 using namespace puffinvane::language;
--- a/language/tests/language.cpp
+++ b/src/config/language/language_test.cpp
@@ -6,10 +6,10 @@
 #include <filesystem>
 #include <map>
 
-#include "language/lexer.h"
-#include "language/quantity.h"
-#include "language/read.h"
-#include "language/tree.h"
+#include "src/config/language/lexer.h"
+#include "src/config/language/quantity.h"
+#include "src/config/language/read.h"
+#include "src/config/language/tree.h"
 
 using namespace puffinvane;
 using namespace puffinvane::language;
--- a/language/lexer.cpp
+++ b/src/config/language/lexer.cpp
@@ -1,4 +1,4 @@
-#include "language/lexer.h"
+#include "src/config/language/lexer.h"
 
 namespace puffinvane::language {
 
--- a/language/lexer.h
+++ b/src/config/language/lexer.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "language/messages.h"
+#include "src/config/language/messages.h"
 
 namespace puffinvane::language {
 
--- a/language/messages.cpp
+++ b/src/config/language/messages.cpp
@@ -1,4 +1,4 @@
-#include "language/messages.h"
+#include "src/config/language/messages.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/language/parser.cpp
+++ b/src/config/language/parser.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 #include <optional>
 
-#include "language/lexer.h"
-#include "language/tree.h"
+#include "src/config/language/lexer.h"
+#include "src/config/language/tree.h"
 
 namespace puffinvane::language {
 
--- a/language/quantity.cpp
+++ b/src/config/language/quantity.cpp
@@ -1,4 +1,4 @@
-#include "language/quantity.h"
+#include "src/config/language/quantity.h"
 
 #include <arpa/inet.h>
 
@@ -8,9 +8,9 @@
 #include <cmath>
 #include <span>
 
-#include "language/lexer.h"
 #include "puffinvane/policy.h"
-#include "site/site.h"
+#include "src/config/language/lexer.h"
+#include "src/config/site/site.h"
 
 namespace puffinvane::language {
 
--- a/language/read.cpp
+++ b/src/config/language/read.cpp
@@ -1,4 +1,4 @@
-#include "language/read.h"
+#include "src/config/language/read.h"
 
 #include <algorithm>
 #include <deque>
@@ -11,9 +11,9 @@
 #include <unordered_map>
 #include <utility>
 
-#include "language/lexer.h"
-#include "language/quantity.h"
-#include "language/tree.h"
+#include "src/config/language/lexer.h"
+#include "src/config/language/quantity.h"
+#include "src/config/language/tree.h"
 
 namespace puffinvane::language {
 
--- a/language/read.h
+++ b/src/config/language/read.h
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
-#include "language/messages.h"
-#include "site/site.h"
+#include "src/config/language/messages.h"
+#include "src/config/site/site.h"
 
 namespace puffinvane::language {
 
--- a/language/tree.h
+++ b/src/config/language/tree.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "language/messages.h"
+#include "src/config/language/messages.h"
 
 namespace puffinvane::language {
 
--- a/deployment/deployment.cpp
+++ b/src/config/settings/deployment.cpp
@@ -1,4 +1,4 @@
-#include "deployment/deployment.h"
+#include "src/config/settings/deployment.h"
 
 #include <algorithm>
 #include <cmath>
--- a/site/check.cpp
+++ b/src/config/site/check.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "site/site.h"
+#include "src/config/site/site.h"
 
 namespace puffinvane::site {
 
--- a/site/facts.cpp
+++ b/src/config/site/facts.cpp
@@ -7,7 +7,7 @@
 #include <charconv>
 #include <map>
 
-#include "site/site.h"
+#include "src/config/site/site.h"
 
 namespace puffinvane::site {
 
--- a/site/site.cpp
+++ b/src/config/site/site.cpp
@@ -1,4 +1,4 @@
-#include "site/site.h"
+#include "src/config/site/site.h"
 
 #include <algorithm>
 #include <numeric>
--- a/site/tests/site.cpp
+++ b/src/config/site/site_test.cpp
@@ -1,6 +1,6 @@
 // The model on its own: what is checked, what makes two versions differ, what a pool's module is told.
 #undef NDEBUG
-#include "site/site.h"
+#include "src/config/site/site.h"
 
 #include <cassert>
 #include <cstdio>
--- a/sidecar/wire/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/discovery.h"
+#include "src/discovery/discovery.h"
 
 #include <algorithm>
 #include <ctime>
--- a/sidecar/wire/discovery.h
+++ b/src/discovery/discovery.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "deployment/deployment.h"
+#include "src/config/settings/deployment.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/discovery_watch.h"
+#include "src/discovery/discovery_watch.h"
 
 #include <algorithm>
 #include <cmath>
--- a/sidecar/wire/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -13,10 +13,10 @@
 #include <string>
 
 #include "puffinvane/table.h"
-#include "sidecar/wire/discovery.h"
-#include "sidecar/wire/endpoint_starts.h"
-#include "sidecar/wire/http.h"
-#include "sidecar/wire/tcp_connection.h"
+#include "src/discovery/discovery.h"
+#include "src/discovery/endpoint_starts.h"
+#include "src/http/http.h"
+#include "src/net/tcp_connection.h"
 
 namespace puffinvane {
 
--- a/tests/watch.cpp
+++ b/src/discovery/discovery_watch_test.cpp
@@ -1,12 +1,13 @@
 // Tests of the watch on a discovery that is one for all: it answers in turn, and what it refuses costs it
 // work too. Watches run in this process, discovery in a thread of its own.
+#include "src/discovery/discovery_watch.h"
+
 #include <atomic>
 #include <chrono>
 #include <ctime>
 #include <list>
 
-#include "sidecar/wire/discovery_watch.h"
-#include "tests/running.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/sidecar/wire/endpoint_starts.cpp
+++ b/src/discovery/endpoint_starts.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/endpoint_starts.h"
+#include "src/discovery/endpoint_starts.h"
 
 #include <algorithm>
 #include <cmath>
--- a/sidecar/wire/endpoint_starts.h
+++ b/src/discovery/endpoint_starts.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "sidecar/wire/discovery.h"
+#include "src/discovery/discovery.h"
 
 namespace puffinvane {
 
--- a/tests/endpoint_starts.cpp
+++ b/src/discovery/endpoint_starts_test.cpp
@@ -1,6 +1,6 @@
 // Endpoints' starts while the wall clock is wrong or is stepped. Times are the monotonic clock's; discovery's
 // stamps are by a clock of its own that is right.
-#include "sidecar/wire/endpoint_starts.h"
+#include "src/discovery/endpoint_starts.h"
 
 #undef NDEBUG
 #include <cassert>
--- a/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.h"
+#include "src/fleet/fleet.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/membership/membership.h"
-#include "fleet/shares/shares.h"
-#include "fleet/transport/transport.h"
+#include "src/fleet/membership/membership.h"
+#include "src/fleet/shares/shares.h"
+#include "src/fleet/transport/transport.h"
 
 namespace puffinvane::fleet {
 
--- a/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "fleet/membership/membership.h"
+#include "src/fleet/membership/membership.h"
 
 #include <xxhash.h>
 
--- a/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -7,8 +7,8 @@
 #include <pcg_random.hpp>
 #include <set>
 
-#include "fleet/membership/member.h"
 #include "puffinvane/table.h"
+#include "src/fleet/membership/member.h"
 
 namespace puffinvane::fleet {
 
--- a/fleet/tests/measure.cpp
+++ b/src/fleet/membership/membership_measure.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "fleet/tests/world.h"
+#include "src/fleet/membership/simulated_fleet.h"
 
 using namespace puffinvane::fleet;
 using namespace puffinvane::fleet::test;
--- a/fleet/tests/membership.cpp
+++ b/src/fleet/membership/membership_test.cpp
@@ -1,7 +1,7 @@
 // Tests of who is there, played by a seeded scheduler: what a cut, a stall, a twin or a liar does to it.
 #include <cstdio>
 
-#include "fleet/tests/world.h"
+#include "src/fleet/membership/simulated_fleet.h"
 
 using namespace puffinvane::fleet;
 using namespace puffinvane::fleet::test;
--- a/fleet/tests/world.h
+++ b/src/fleet/membership/simulated_fleet.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <queue>
 
-#include "fleet/membership/membership.h"
+#include "src/fleet/membership/membership.h"
 
 namespace puffinvane::fleet::test {
 
--- a/fleet/shares/shares.cpp
+++ b/src/fleet/shares/shares.cpp
@@ -1,4 +1,4 @@
-#include "fleet/shares/shares.h"
+#include "src/fleet/shares/shares.h"
 
 #include <xxhash.h>
 
--- a/fleet/tests/shares.cpp
+++ b/src/fleet/shares/shares_test.cpp
@@ -1,6 +1,6 @@
 // The bounds of the cut, at every small size and by chance at large ones; what differing views do to it.
 #undef NDEBUG
-#include "fleet/shares/shares.h"
+#include "src/fleet/shares/shares.h"
 
 #include <cassert>
 #include <chrono>
--- a/fleet/transport/codec.cpp
+++ b/src/fleet/transport/codec.cpp
@@ -1,4 +1,4 @@
-#include "fleet/transport/codec.h"
+#include "src/fleet/transport/codec.h"
 
 #include <glib.h>
 
--- a/fleet/transport/codec.h
+++ b/src/fleet/transport/codec.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "fleet/membership/member.h"
+#include "src/fleet/membership/member.h"
 
 namespace puffinvane::fleet {
 
--- a/fleet/tests/codec.cpp
+++ b/src/fleet/transport/codec_test.cpp
@@ -1,12 +1,12 @@
 // Messages as bytes: what was written is read, and what was not is dropped, whatever it is.
 #undef NDEBUG
-#include "fleet/transport/codec.h"
+#include "src/fleet/transport/codec.h"
 
 #include <cassert>
 #include <cstdio>
 #include <pcg_random.hpp>
 
-#include "fleet/membership/membership.h"
+#include "src/fleet/membership/membership.h"
 
 using namespace puffinvane::fleet;
 
--- a/fleet/transport/transport.cpp
+++ b/src/fleet/transport/transport.cpp
@@ -1,4 +1,4 @@
-#include "fleet/transport/transport.h"
+#include "src/fleet/transport/transport.h"
 
 #include <sys/epoll.h>
 
--- a/fleet/transport/transport.h
+++ b/src/fleet/transport/transport.h
@@ -5,10 +5,10 @@
 #include <memory>
 #include <string>
 
-#include "fleet/transport/codec.h"
-#include "sidecar/loop/loop.h"
-#include "sidecar/wire/listener.h"
-#include "sidecar/wire/tcp_connection.h"
+#include "src/fleet/transport/codec.h"
+#include "src/net/listener.h"
+#include "src/net/loop.h"
+#include "src/net/tcp_connection.h"
 
 namespace puffinvane::fleet {
 
--- a/sidecar/handover/channel.cpp
+++ b/src/hot_restart/channel.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/handover/channel.h"
+#include "src/hot_restart/channel.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -8,7 +8,7 @@
 #include <cerrno>
 #include <cstring>
 
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
 
 namespace puffinvane {
 
--- a/sidecar/handover/channel.h
+++ b/src/hot_restart/channel.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <utility>
 
-#include "sidecar/loop/loop.h"
+#include "src/net/loop.h"
 
 namespace puffinvane {
 
--- a/sidecar/handover/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/handover/hot_restart.h"
+#include "src/hot_restart/hot_restart.h"
 
 #include <fcntl.h>
 #include <gio/gunixsocketaddress.h>
@@ -12,7 +12,7 @@
 #include <cstdlib>
 #include <utility>
 
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
 
 namespace puffinvane {
 
--- a/sidecar/handover/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "sidecar/handover/channel.h"
-#include "sidecar/handover/message.h"
+#include "src/hot_restart/channel.h"
+#include "src/hot_restart/message.h"
 
 namespace puffinvane {
 
--- a/tests/handover.cpp
+++ b/src/hot_restart/hot_restart_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "sidecar/handover/message.h"
-#include "sidecar/wire/http.h"
+#include "src/hot_restart/message.h"
+#include "src/http/http.h"
 
 using namespace puffinvane;
 
--- a/sidecar/handover/message.cpp
+++ b/src/hot_restart/message.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/handover/message.h"
+#include "src/hot_restart/message.h"
 
 #include <nlohmann/json.hpp>
 
--- a/sidecar/handover/message.h
+++ b/src/hot_restart/message.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "puffinvane/learned.h"
-#include "sidecar/wire/discovery.h"
+#include "src/discovery/discovery.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/headers.cpp
+++ b/src/http/headers.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/headers.h"
+#include "src/http/headers.h"
 
 #include <algorithm>
 #include <charconv>
--- a/sidecar/wire/headers.h
+++ b/src/http/headers.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "puffinvane/policy.h"
-#include "sidecar/wire/http.h"
+#include "src/http/http.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/http.cpp
+++ b/src/http/http.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/http.h"
+#include "src/http/http.h"
 
 #include <algorithm>
 #include <charconv>
--- a/sidecar/wire/http.h
+++ b/src/http/http.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "sidecar/memory/buffers.h"
+#include "src/net/buffers.h"
 
 namespace puffinvane {
 
--- a/sidecar/memory/buffers.cpp
+++ b/src/net/buffers.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/memory/buffers.h"
+#include "src/net/buffers.h"
 
 #include <algorithm>
 #include <cstring>
--- a/sidecar/wire/listener.cpp
+++ b/src/net/listener.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/listener.h"
+#include "src/net/listener.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -13,7 +13,7 @@
 #include <string>
 #include <utility>
 
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/listener.h
+++ b/src/net/listener.h
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <string_view>
 
-#include "sidecar/wire/tcp_connection.h"
+#include "src/net/tcp_connection.h"
 
 namespace puffinvane {
 
--- a/sidecar/loop/log.cpp
+++ b/src/net/log.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/loop/log.h"
+#include "src/net/log.h"
 
 #include <chrono>
 #include <nlohmann/json.hpp>
--- a/sidecar/loop/loop.cpp
+++ b/src/net/loop.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/loop/loop.h"
+#include "src/net/loop.h"
 
 #include <glib-unix.h>
 #include <poll.h>
@@ -12,7 +12,7 @@
 #include <limits>
 #include <stdexcept>
 
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
 
 namespace puffinvane {
 
--- a/sidecar/loop/loop.h
+++ b/src/net/loop.h
@@ -7,9 +7,9 @@
 #include <map>
 #include <vector>
 
-#include "sidecar/loop/glib.h"
-#include "sidecar/loop/log.h"
-#include "sidecar/memory/buffers.h"
+#include "src/net/buffers.h"
+#include "src/net/glib.h"
+#include "src/net/log.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/tcp_connection.h"
+#include "src/net/tcp_connection.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -11,7 +11,7 @@
 #include <charconv>
 #include <utility>
 
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/tcp_connection.h
+++ b/src/net/tcp_connection.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "sidecar/loop/loop.h"
+#include "src/net/loop.h"
 
 namespace puffinvane {
 
--- a/src/policy.cpp
+++ b/src/policy/policy.cpp
@@ -14,7 +14,7 @@
 #include <utility>
 
 #include "puffinvane/table.h"
-#include "records.h"
+#include "src/policy/records.h"
 
 namespace puffinvane {
 namespace {
--- a/tests/policy.cpp
+++ b/src/policy/policy_test.cpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <utility>
 
-#include "helpers.h"
+#include "testing/helpers.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/quiet.cpp
+++ b/src/policy/quiet_test.cpp
@@ -4,7 +4,7 @@
 #include <functional>
 #include <utility>
 
-#include "helpers.h"
+#include "testing/helpers.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/sidecar/wire/connection_limiter.h
+++ b/src/proxy/connection_limiter.h
@@ -6,8 +6,8 @@
 #include <cmath>
 #include <vector>
 
-#include "sidecar/loop/loop.h"
-#include "sidecar/wire/http.h"
+#include "src/http/http.h"
+#include "src/net/loop.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/downstream_connection.cpp
+++ b/src/proxy/downstream_connection.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/downstream_connection.h"
+#include "src/proxy/downstream_connection.h"
 
 #include <utility>
 
--- a/sidecar/wire/downstream_connections.cpp
+++ b/src/proxy/downstream_connections.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/downstream_connections.h"
+#include "src/proxy/downstream_connections.h"
 
 #include <algorithm>
 #include <tuple>
--- a/sidecar/wire/downstream_connections.h
+++ b/src/proxy/downstream_connections.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <unordered_map>
 
-#include "sidecar/wire/connection_limiter.h"
-#include "sidecar/wire/downstream_connection.h"
-#include "sidecar/wire/listener.h"
+#include "src/net/listener.h"
+#include "src/proxy/connection_limiter.h"
+#include "src/proxy/downstream_connection.h"
 
 namespace puffinvane {
 
--- a/sidecar/memory/pending_requests.h
+++ b/src/proxy/pending_requests.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "puffinvane/policy.h"
-#include "sidecar/wire/http.h"
+#include "src/http/http.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/wire/request_forwarder.h"
+#include "src/proxy/request_forwarder.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "sidecar/wire/headers.h"
+#include "src/http/headers.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -12,15 +12,15 @@
 #include <unordered_map>
 
 #include "puffinvane/policy.h"
-#include "sidecar/memory/addresses.h"
-#include "sidecar/memory/figures.h"
-#include "sidecar/memory/idle_connections.h"
-#include "sidecar/memory/kept_uses.h"
-#include "sidecar/memory/pending_requests.h"
-#include "sidecar/wire/connection_limiter.h"
-#include "sidecar/wire/discovery_watch.h"
-#include "sidecar/wire/downstream_connection.h"
-#include "sidecar/wire/upstream_connection.h"
+#include "src/discovery/discovery_watch.h"
+#include "src/proxy/addresses.h"
+#include "src/proxy/connection_limiter.h"
+#include "src/proxy/downstream_connection.h"
+#include "src/proxy/figures.h"
+#include "src/proxy/idle_connections.h"
+#include "src/proxy/kept_uses.h"
+#include "src/proxy/pending_requests.h"
+#include "src/proxy/upstream_connection.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -1,9 +1,9 @@
-#include "sidecar/wire/upstream_connection.h"
+#include "src/proxy/upstream_connection.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "sidecar/wire/headers.h"
+#include "src/http/headers.h"
 
 namespace puffinvane {
 
--- a/sidecar/wire/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -6,8 +6,8 @@
 
 #include "puffinvane/policy.h"
 #include "puffinvane/table.h"
-#include "sidecar/wire/http.h"
-#include "sidecar/wire/tcp_connection.h"
+#include "src/http/http.h"
+#include "src/net/tcp_connection.h"
 
 namespace puffinvane {
 
--- a/tests/wire.cpp
+++ b/src/proxy/wire_test.cpp
@@ -7,15 +7,15 @@
 #include <pcg_random.hpp>
 #include <sstream>
 
-#include "helpers.h"
-#include "sidecar/lifecycle/start.h"
-#include "sidecar/loop/loop.h"
-#include "sidecar/memory/addresses.h"
-#include "sidecar/memory/idle_connections.h"
-#include "sidecar/memory/kept_uses.h"
-#include "sidecar/wire/discovery.h"
-#include "sidecar/wire/headers.h"
-#include "sidecar/wire/http.h"
+#include "src/discovery/discovery.h"
+#include "src/http/headers.h"
+#include "src/http/http.h"
+#include "src/net/loop.h"
+#include "src/proxy/addresses.h"
+#include "src/proxy/idle_connections.h"
+#include "src/proxy/kept_uses.h"
+#include "src/server/start.h"
+#include "testing/helpers.h"
 
 using namespace puffinvane;
 using Side = HttpReader::Side;
--- a/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -1,4 +1,4 @@
-#include "routing/routing.h"
+#include "src/routing/routing.h"
 
 #include <algorithm>
 #include <array>
--- a/routing/routing.h
+++ b/src/routing/routing.h
@@ -17,7 +17,7 @@
 #include <string_view>
 #include <vector>
 
-#include "site/site.h"
+#include "src/config/site/site.h"
 
 namespace puffinvane::routing {
 
--- a/routing/tests/cost.cpp
+++ b/src/routing/routing_cost.cpp
@@ -4,7 +4,7 @@
 
 #include <random>
 
-#include "routing/routing.h"
+#include "src/routing/routing.h"
 
 using namespace puffinvane;
 using namespace puffinvane::routing;
--- a/routing/tests/routing.cpp
+++ b/src/routing/routing_test.cpp
@@ -1,6 +1,6 @@
 // The compiled routes against a plain matcher that goes through all of them, and the order that they state.
 #undef NDEBUG
-#include "routing/routing.h"
+#include "src/routing/routing.h"
 
 #include <rapidcheck.h>
 
--- a/sidecar/lifecycle/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/lifecycle/lifecycle.h"
+#include "src/server/lifecycle.h"
 
 #include <algorithm>
 
--- a/sidecar/lifecycle/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "puffinvane/table.h"
-#include "sidecar/loop/loop.h"
+#include "src/net/loop.h"
 
 namespace puffinvane {
 
--- a/sidecar/lifecycle/run.cpp
+++ b/src/server/run.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/lifecycle/run.h"
+#include "src/server/run.h"
 
 #include <glib-unix.h>
 #include <sys/signalfd.h>
@@ -8,8 +8,8 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "sidecar/lifecycle/sidecar.h"
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
+#include "src/server/sidecar.h"
 
 namespace puffinvane {
 namespace {
--- a/sidecar/lifecycle/run.h
+++ b/src/server/run.h
@@ -4,8 +4,8 @@
 #include <functional>
 #include <memory>
 
-#include "sidecar/lifecycle/lifecycle.h"
-#include "sidecar/wire/request_forwarder.h"
+#include "src/proxy/request_forwarder.h"
+#include "src/server/lifecycle.h"
 
 namespace puffinvane {
 
--- a/serving/server.cpp
+++ b/src/server/server.cpp
@@ -1,13 +1,13 @@
-#include "serving/server.h"
+#include "src/server/server.h"
 
 #include <algorithm>
 #include <iostream>
 #include <random>
 #include <utility>
 
-#include "language/read.h"
-#include "sidecar/lifecycle/run.h"
-#include "sidecar/wire/headers.h"
+#include "src/config/language/read.h"
+#include "src/http/headers.h"
+#include "src/server/run.h"
 
 namespace puffinvane::serving {
 
--- a/serving/server.h
+++ b/src/server/server.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "routing/routing.h"
-#include "sidecar/lifecycle/lifecycle.h"
-#include "sidecar/wire/discovery_watch.h"
-#include "sidecar/wire/downstream_connections.h"
-#include "sidecar/wire/request_forwarder.h"
+#include "src/discovery/discovery_watch.h"
+#include "src/proxy/downstream_connections.h"
+#include "src/proxy/request_forwarder.h"
+#include "src/routing/routing.h"
+#include "src/server/lifecycle.h"
 
 namespace puffinvane::serving {
 
--- a/sidecar/lifecycle/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -1,12 +1,12 @@
-#include "sidecar/lifecycle/sidecar.h"
+#include "src/server/sidecar.h"
 
 #include <algorithm>
 #include <exception>
 #include <stdexcept>
 #include <utility>
 
-#include "sidecar/admin/telemetry.h"
-#include "sidecar/wire/headers.h"
+#include "src/admin/telemetry.h"
+#include "src/http/headers.h"
 
 namespace puffinvane {
 
--- a/sidecar/lifecycle/sidecar.h
+++ b/src/server/sidecar.h
@@ -3,14 +3,14 @@
 
 #include <string>
 
-#include "sidecar/admin/admin_api.h"
-#include "sidecar/handover/hot_restart.h"
-#include "sidecar/lifecycle/lifecycle.h"
-#include "sidecar/lifecycle/start.h"
-#include "sidecar/shadow/shadow_policy.h"
-#include "sidecar/wire/discovery_watch.h"
-#include "sidecar/wire/downstream_connections.h"
-#include "sidecar/wire/request_forwarder.h"
+#include "src/admin/admin_api.h"
+#include "src/admin/shadow_policy.h"
+#include "src/discovery/discovery_watch.h"
+#include "src/hot_restart/hot_restart.h"
+#include "src/proxy/downstream_connections.h"
+#include "src/proxy/request_forwarder.h"
+#include "src/server/lifecycle.h"
+#include "src/server/start.h"
 
 namespace puffinvane {
 
--- a/sidecar/lifecycle/main.cpp
+++ b/src/server/sidecar_main.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <iostream>
 
-#include "sidecar/lifecycle/run.h"
+#include "src/server/run.h"
 
 int main(int count, char** words) {
   if (count <= 1) return puffinvane::run_sidecar(puffinvane::make_policy);
--- a/sidecar/lifecycle/start.cpp
+++ b/src/server/start.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/lifecycle/start.h"
+#include "src/server/start.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <charconv>
 #include <cstring>
 
-#include "sidecar/loop/system_calls.h"
+#include "src/net/system_calls.h"
 
 namespace puffinvane {
 
--- a/sidecar/lifecycle/start.h
+++ b/src/server/start.h
@@ -5,10 +5,10 @@
 #include <optional>
 #include <string>
 
-#include "deployment/deployment.h"
-#include "fleet/fleet.h"
-#include "sidecar/wire/discovery.h"
-#include "sidecar/wire/discovery_watch.h"
+#include "src/config/settings/deployment.h"
+#include "src/discovery/discovery.h"
+#include "src/discovery/discovery_watch.h"
+#include "src/fleet/fleet.h"
 
 namespace puffinvane {
 
--- a/tests/answering.h
+++ b/testing/answering.h
@@ -5,7 +5,7 @@
 #include <thread>
 #include <vector>
 
-#include "tests/running.h"
+#include "testing/running.h"
 
 namespace puffinvane::test {
 
--- a/tests/faults.cpp
+++ b/testing/faults/fault_injection_test.cpp
@@ -1,7 +1,5 @@
 // The library of faults itself, played in this program started anew: what is asked for happens, nothing else.
 #undef NDEBUG
-#include "tests/faults.h"
-
 #include <arpa/inet.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -15,6 +13,8 @@
 #include <cstring>
 #include <string_view>
 
+#include "testing/faults/faults.h"
+
 using namespace puffinvane::test;
 
 namespace {
--- a/tests/peers.h
+++ b/testing/peers.h
@@ -22,7 +22,7 @@
 #include <thread>
 #include <utility>
 
-#include "sidecar/wire/http.h"
+#include "src/http/http.h"
 
 namespace puffinvane::test {
 
--- a/tests/running.h
+++ b/testing/running.h
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "sidecar/wire/headers.h"
-#include "tests/peers.h"
+#include "src/http/headers.h"
+#include "testing/peers.h"
 
 namespace puffinvane::test {
 
@@ -32,8 +32,9 @@
     int number = 0;                   // of several processes of one sidecar
     unsigned system = 0;            // descriptors that the system lets it have; none: as many as this process
     Listener* discovery = nullptr;  // another's
-    std::vector<std::pair<std::string, std::string>> environment{};  // more of it, as of tests/faults.h
-    std::string rules = "{}";                                        // of the settings
+    std::vector<std::pair<std::string, std::string>>
+        environment{};         // more of it, as of testing/faults/faults.h
+    std::string rules = "{}";  // of the settings
   };
   Running(const std::string& known, const std::string& limits, const std::string& connect_timeout = "0.1",
           const std::string& shadow = "")
--- a/tests/admin_api.cpp
+++ b/tests/integration/admin_api.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <vector>
 
-#include "tests/running.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/clients.cpp
+++ b/tests/integration/clients.cpp
@@ -3,9 +3,9 @@
 #include <functional>
 #include <vector>
 
-#include "tests/answering.h"
-#include "tests/faults.h"
-#include "tests/running.h"
+#include "testing/answering.h"
+#include "testing/faults/faults.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/cli/tests/commands.cpp
+++ b/tests/integration/commands.cpp
@@ -72,7 +72,8 @@
   nlohmann::json message = all[1]["messages"][0];
   assert(message["line"] == 13 && message["column"] == 18 && message["fix"] == "write 750ms");
   // What is no UTF-8 is still told as JSON.
-  assert(nlohmann::json::parse(run("check --json " + sources + "/language/corpus/bad/not-utf8.site").out)
+  assert(nlohmann::json::parse(
+             run("check --json " + sources + "/src/config/language/corpus/bad/not-utf8.site").out)
              .size() == 1);
 }
 
@@ -129,10 +130,11 @@
 }
 
 void nothing_ends_it_by_a_signal() {
-  std::string all = " " + sources + "/language/corpus/bad/*.site " + sources + "/language/corpus/good/*.site";
+  std::string all = " " + sources + "/src/config/language/corpus/bad/*.site " + sources +
+                    "/src/config/language/corpus/good/*.site";
   assert(run("check" + all).exit == 1 && run("check --json" + all).exit == 1);
   run("format" + all);
-  for (const auto& entry : fs::directory_iterator(sources + "/language/corpus/bad")) {
+  for (const auto& entry : fs::directory_iterator(sources + "/src/config/language/corpus/bad")) {
     if (entry.path().extension() != ".site") continue;
     assert(run("diff " + entry.path().string() + " " + example()).exit == 2);
     assert(run("explain " + entry.path().string() + " GET /").exit == 2);
@@ -141,7 +143,7 @@
     for (const char* command : {"check ", "format ", "format --in-place "}) run(command + std::string(odd));
   }
   // Nobody reads, or the disk is full.
-  std::string code = scratch + "/code", big = sources + "/language/corpus/good/big.site";
+  std::string code = scratch + "/code", big = sources + "/src/config/language/corpus/good/big.site";
   std::string many = big;
   for (int i = 0; i < 20; ++i) many += " " + big;  // more than a pipe holds
   assert(std::system(("{ " + program + " format " + many + "; echo $? >" + code + "; } 2>/dev/null | true")
--- a/tests/crossings.cpp
+++ b/tests/integration/crossings.cpp
@@ -5,8 +5,8 @@
 #include <iostream>
 #include <vector>
 
-#include "sidecar/wire/request_forwarder.h"
-#include "tests/running.h"
+#include "src/proxy/request_forwarder.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/fleet/tests/processes.cpp
+++ b/tests/integration/fleet_processes.cpp
@@ -1,6 +1,6 @@
 // Tests of many processes of the program, and of what happens to them and between them.
 #undef NDEBUG
-#include "fleet/tests/processes.h"
+#include "tests/integration/fleet_processes.h"
 
 #include <algorithm>
 
--- a/fleet/tests/processes.h
+++ b/tests/integration/fleet_processes.h
@@ -7,8 +7,8 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "fleet/tests/relay.h"
-#include "tests/running.h"
+#include "testing/running.h"
+#include "tests/integration/fleet_relay.h"
 
 namespace puffinvane::fleet::test {
 
--- a/fleet/tests/relay.h
+++ b/tests/integration/fleet_relay.h
@@ -11,8 +11,8 @@
 #include <random>
 #include <thread>
 
-#include "fleet/transport/codec.h"
-#include "tests/peers.h"
+#include "src/fleet/transport/codec.h"
+#include "testing/peers.h"
 
 namespace puffinvane::fleet::test {
 
--- a/fleet/tests/sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "fleet/tests/processes.h"
-#include "tests/answering.h"
+#include "testing/answering.h"
+#include "tests/integration/fleet_processes.h"
 
 using namespace puffinvane;
 using namespace puffinvane::fleet::test;
--- a/tests/production.cpp
+++ b/tests/integration/production.cpp
@@ -6,7 +6,7 @@
 #include <thread>
 #include <vector>
 
-#include "tests/running.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/serving.cpp
+++ b/tests/integration/serving.cpp
@@ -5,7 +5,7 @@
 #include <cassert>
 #include <functional>
 
-#include "tests/running.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/serving/tests/serving.cpp
+++ b/tests/integration/site_serving.cpp
@@ -11,8 +11,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "tests/faults.h"
-#include "tests/peers.h"
+#include "testing/faults/faults.h"
+#include "testing/peers.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "sidecar/loop/log.h"
-#include "tests/answering.h"
-#include "tests/faults.h"
-#include "tests/running.h"
+#include "src/net/log.h"
+#include "testing/answering.h"
+#include "testing/faults/faults.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/upgrade.cpp
+++ b/tests/integration/upgrade.cpp
@@ -10,8 +10,8 @@
 #include <thread>
 #include <vector>
 
-#include "tests/answering.h"
-#include "tests/running.h"
+#include "testing/answering.h"
+#include "testing/running.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/load_test/baselines/baselines.cpp
+++ b/tools/load_test/baselines/baselines.cpp
@@ -1,4 +1,4 @@
-#include "load_test/baselines/baselines.h"
+#include "tools/load_test/baselines/baselines.h"
 
 #include <algorithm>
 #include <pcg_random.hpp>
--- a/load_test/baselines/main.cpp
+++ b/tools/load_test/baselines/main.cpp
@@ -1,8 +1,8 @@
 // puffinvane_baseline NAME: the sidecar with other decisions, for comparison.
 #include <iostream>
 
-#include "load_test/baselines/baselines.h"
-#include "sidecar/lifecycle/run.h"
+#include "src/server/run.h"
+#include "tools/load_test/baselines/baselines.h"
 
 int main(int count, char** words) {
   for (const load_test::Baseline& one : load_test::baselines()) {
--- a/load_test/cost/cost.cpp
+++ b/tools/load_test/cost/cost.cpp
@@ -1,4 +1,4 @@
-#include "load_test/cost/cost.h"
+#include "tools/load_test/cost/cost.h"
 
 #include <signal.h>
 #include <sys/prctl.h>
@@ -13,10 +13,10 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-#include "load_test/cost/load.h"
-#include "load_test/report/compare.h"
-#include "load_test/world/discovery.h"
-#include "load_test/world/fleet.h"
+#include "tools/load_test/cost/load.h"
+#include "tools/load_test/report/compare.h"
+#include "tools/load_test/world/discovery.h"
+#include "tools/load_test/world/fleet.h"
 
 namespace load_test {
 
--- a/load_test/cost/load.cpp
+++ b/tools/load_test/cost/load.cpp
@@ -1,4 +1,4 @@
-#include "load_test/cost/load.h"
+#include "tools/load_test/cost/load.h"
 
 #include <unistd.h>
 
@@ -9,7 +9,7 @@
 #include <memory>
 #include <sstream>
 
-#include "load_test/loop/http.h"
+#include "tools/load_test/loop/http.h"
 
 namespace load_test {
 
--- a/load_test/example_upstreams.cpp
+++ b/tools/load_test/example_upstreams.cpp
@@ -1,9 +1,9 @@
-#include "load_test/example_upstreams.h"
+#include "tools/load_test/example_upstreams.h"
 
 #include <iostream>
 
-#include "load_test/world/discovery.h"
-#include "load_test/world/endpoint.h"
+#include "tools/load_test/world/discovery.h"
+#include "tools/load_test/world/endpoint.h"
 
 namespace load_test {
 
--- a/load_test/invariants/invariant_checker.cpp
+++ b/tools/load_test/invariants/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "load_test/invariants/invariant_checker.h"
+#include "tools/load_test/invariants/invariant_checker.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/load_test/invariants/invariant_checker.h
+++ b/tools/load_test/invariants/invariant_checker.h
@@ -12,8 +12,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "load_test/invariants/event.h"
-#include "load_test/invariants/slow_start.h"
+#include "tools/load_test/invariants/event.h"
+#include "tools/load_test/invariants/slow_start.h"
 
 namespace load_test {
 
--- a/load_test/lanes.cpp
+++ b/tools/load_test/lanes.cpp
@@ -1,4 +1,4 @@
-#include "load_test/lanes.h"
+#include "tools/load_test/lanes.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
--- a/load_test/loop/http.cpp
+++ b/tools/load_test/loop/http.cpp
@@ -1,4 +1,4 @@
-#include "load_test/loop/http.h"
+#include "tools/load_test/loop/http.h"
 
 #include <strings.h>
 
--- a/load_test/loop/line.cpp
+++ b/tools/load_test/loop/line.cpp
@@ -1,4 +1,4 @@
-#include "load_test/loop/line.h"
+#include "tools/load_test/loop/line.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/load_test/loop/line.h
+++ b/tools/load_test/loop/line.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "load_test/loop/loop.h"
+#include "tools/load_test/loop/loop.h"
 
 namespace load_test {
 
--- a/load_test/loop/loop.cpp
+++ b/tools/load_test/loop/loop.cpp
@@ -1,4 +1,4 @@
-#include "load_test/loop/loop.h"
+#include "tools/load_test/loop/loop.h"
 
 #include <sys/epoll.h>
 #include <unistd.h>
--- a/load_test/main.cpp
+++ b/tools/load_test/main.cpp
@@ -8,14 +8,14 @@
 #include <iostream>
 #include <set>
 
-#include "load_test/cost/cost.h"
-#include "load_test/cost/load.h"
-#include "load_test/example_upstreams.h"
-#include "load_test/lanes.h"
-#include "load_test/report/compare.h"
-#include "load_test/report/page.h"
-#include "load_test/run.h"
-#include "load_test/scale/scale.h"
+#include "tools/load_test/cost/cost.h"
+#include "tools/load_test/cost/load.h"
+#include "tools/load_test/example_upstreams.h"
+#include "tools/load_test/lanes.h"
+#include "tools/load_test/report/compare.h"
+#include "tools/load_test/report/page.h"
+#include "tools/load_test/run.h"
+#include "tools/load_test/scale/scale.h"
 
 namespace load_test {
 namespace {
--- a/load_test/report/compare.cpp
+++ b/tools/load_test/report/compare.cpp
@@ -1,4 +1,4 @@
-#include "load_test/report/compare.h"
+#include "tools/load_test/report/compare.h"
 
 #include <algorithm>
 #include <cmath>
--- a/load_test/report/figures.cpp
+++ b/tools/load_test/report/figures.cpp
@@ -1,4 +1,4 @@
-#include "load_test/report/figures.h"
+#include "tools/load_test/report/figures.h"
 
 #include <algorithm>
 #include <cmath>
--- a/load_test/report/figures.h
+++ b/tools/load_test/report/figures.h
@@ -8,8 +8,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "load_test/invariants/event.h"
-#include "load_test/world/clients.h"
+#include "tools/load_test/invariants/event.h"
+#include "tools/load_test/world/clients.h"
 
 namespace load_test {
 
--- a/load_test/report/page.cpp
+++ b/tools/load_test/report/page.cpp
@@ -1,4 +1,4 @@
-#include "load_test/report/page.h"
+#include "tools/load_test/report/page.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/load_test/run.cpp
+++ b/tools/load_test/run.cpp
@@ -1,4 +1,4 @@
-#include "load_test/run.h"
+#include "tools/load_test/run.h"
 
 #include <dirent.h>
 #include <unistd.h>
@@ -8,8 +8,8 @@
 #include <filesystem>
 #include <sstream>
 
-#include "load_test/report/figures.h"
-#include "load_test/world/fleet.h"
+#include "tools/load_test/report/figures.h"
+#include "tools/load_test/world/fleet.h"
 
 namespace load_test {
 
--- a/load_test/run.h
+++ b/tools/load_test/run.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "load_test/scenario/scenario.h"
+#include "tools/load_test/scenario/scenario.h"
 
 namespace load_test {
 
--- a/load_test/scale/list_server.cpp
+++ b/tools/load_test/scale/list_server.cpp
@@ -1,4 +1,4 @@
-#include "load_test/scale/list_server.h"
+#include "tools/load_test/scale/list_server.h"
 
 #include <chrono>
 #include <cstdlib>
--- a/load_test/scale/list_server.h
+++ b/tools/load_test/scale/list_server.h
@@ -7,8 +7,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "load_test/loop/http.h"
-#include "load_test/loop/line.h"
+#include "tools/load_test/loop/http.h"
+#include "tools/load_test/loop/line.h"
 
 namespace load_test {
 
--- a/load_test/scale/scale.cpp
+++ b/tools/load_test/scale/scale.cpp
@@ -1,4 +1,4 @@
-#include "load_test/scale/scale.h"
+#include "tools/load_test/scale/scale.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
@@ -11,8 +11,8 @@
 #include <iomanip>
 #include <stdexcept>
 
-#include "load_test/scale/list_server.h"
-#include "load_test/world/fleet.h"
+#include "tools/load_test/scale/list_server.h"
+#include "tools/load_test/world/fleet.h"
 
 namespace load_test {
 
--- a/load_test/scenario/chance.h
+++ b/tools/load_test/scenario/chance.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <pcg_random.hpp>
 
-#include "load_test/scenario/scenario.h"
+#include "tools/load_test/scenario/scenario.h"
 
 namespace load_test {
 
--- a/load_test/scenario/draw.cpp
+++ b/tools/load_test/scenario/draw.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "load_test/scenario/chance.h"
+#include "tools/load_test/scenario/chance.h"
 
 namespace load_test {
 
--- a/load_test/scenario/scenario.cpp
+++ b/tools/load_test/scenario/scenario.cpp
@@ -1,4 +1,4 @@
-#include "load_test/scenario/scenario.h"
+#include "tools/load_test/scenario/scenario.h"
 
 #include <toml++/toml.h>
 
--- a/load_test/scenario/scenario.h
+++ b/tools/load_test/scenario/scenario.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "load_test/invariants/invariant_checker.h"
+#include "tools/load_test/invariants/invariant_checker.h"
 
 namespace load_test {
 
--- a/load_test/tests/invariant_checker.cpp
+++ b/tools/load_test/tests/invariant_checker.cpp
@@ -1,6 +1,6 @@
 // Short tests of what was seen, and of what the invariant checker makes of it.
 #undef NDEBUG
-#include "load_test/invariants/invariant_checker.h"
+#include "tools/load_test/invariants/invariant_checker.h"
 
 #include <cassert>
 #include <cstdio>
--- a/load_test/tests/pieces.cpp
+++ b/tools/load_test/tests/pieces.cpp
@@ -7,12 +7,12 @@
 #include <cstdio>
 #include <sstream>
 
-#include "load_test/cost/load.h"
-#include "load_test/loop/http.h"
-#include "load_test/report/compare.h"
-#include "load_test/report/page.h"
-#include "load_test/world/clients.h"
-#include "load_test/world/endpoint.h"
+#include "tools/load_test/cost/load.h"
+#include "tools/load_test/loop/http.h"
+#include "tools/load_test/report/compare.h"
+#include "tools/load_test/report/page.h"
+#include "tools/load_test/world/clients.h"
+#include "tools/load_test/world/endpoint.h"
 
 using namespace load_test;
 
--- a/load_test/tests/scale.cpp
+++ b/tools/load_test/tests/scale.cpp
@@ -1,7 +1,7 @@
 // What of a sidecar's needs does not depend on the machine, with a list of 3,200 endpoints against one of
 // 200.
 #undef NDEBUG
-#include "load_test/scale/scale.h"
+#include "tools/load_test/scale/scale.h"
 
 #include <cassert>
 #include <csignal>
--- a/load_test/world/caller.cpp
+++ b/tools/load_test/world/caller.cpp
@@ -1,4 +1,4 @@
-#include "load_test/world/caller.h"
+#include "tools/load_test/world/caller.h"
 
 #include <optional>
 #include <vector>
--- a/load_test/world/caller.h
+++ b/tools/load_test/world/caller.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "load_test/loop/http.h"
-#include "load_test/world/world.h"
+#include "tools/load_test/loop/http.h"
+#include "tools/load_test/world/world.h"
 
 namespace load_test {
 
--- a/load_test/world/clients.cpp
+++ b/tools/load_test/world/clients.cpp
@@ -1,4 +1,4 @@
-#include "load_test/world/clients.h"
+#include "tools/load_test/world/clients.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/load_test/world/discovery.cpp
+++ b/tools/load_test/world/discovery.cpp
@@ -1,4 +1,4 @@
-#include "load_test/world/discovery.h"
+#include "tools/load_test/world/discovery.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/load_test/world/endpoint.cpp
+++ b/tools/load_test/world/endpoint.cpp
@@ -1,4 +1,4 @@
-#include "load_test/world/endpoint.h"
+#include "tools/load_test/world/endpoint.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/load_test/world/endpoint.h
+++ b/tools/load_test/world/endpoint.h
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "load_test/invariants/slow_start.h"
-#include "load_test/world/caller.h"
+#include "tools/load_test/invariants/slow_start.h"
+#include "tools/load_test/world/caller.h"
 
 namespace load_test {
 
--- a/load_test/world/fleet.cpp
+++ b/tools/load_test/world/fleet.cpp
@@ -1,4 +1,4 @@
-#include "load_test/world/fleet.h"
+#include "tools/load_test/world/fleet.h"
 
 #include <unistd.h>
 
--- a/load_test/world/fleet.h
+++ b/tools/load_test/world/fleet.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "load_test/world/clients.h"
-#include "load_test/world/discovery.h"
-#include "load_test/world/endpoint.h"
-#include "load_test/world/process.h"
+#include "tools/load_test/world/clients.h"
+#include "tools/load_test/world/discovery.h"
+#include "tools/load_test/world/endpoint.h"
+#include "tools/load_test/world/process.h"
 
 namespace load_test {
 
--- a/load_test/world/process.cpp
+++ b/tools/load_test/world/process.cpp
@@ -1,4 +1,4 @@
-#include "load_test/world/process.h"
+#include "tools/load_test/world/process.h"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 #include <fstream>
 #include <stdexcept>
 
-#include "load_test/loop/http.h"
+#include "tools/load_test/loop/http.h"
 
 namespace load_test {
 
--- a/load_test/world/world.h
+++ b/tools/load_test/world/world.h
@@ -4,10 +4,10 @@
 #include <cstdio>
 #include <string>
 
-#include "load_test/invariants/event.h"
-#include "load_test/loop/line.h"
-#include "load_test/loop/loop.h"
-#include "load_test/scenario/chance.h"
+#include "tools/load_test/invariants/event.h"
+#include "tools/load_test/loop/line.h"
+#include "tools/load_test/loop/loop.h"
+#include "tools/load_test/scenario/chance.h"
 
 namespace load_test {
 
--- a/simulator_adapter/codec.cpp
+++ b/tools/simulator_adapter/codec.cpp
@@ -1,4 +1,4 @@
-#include "codec.h"
+#include "tools/simulator_adapter/codec.h"
 
 #include <algorithm>
 #include <charconv>
--- a/simulator_adapter/codec.h
+++ b/tools/simulator_adapter/codec.h
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "deployment/deployment.h"
 #include "puffinvane/policy.h"
+#include "src/config/settings/deployment.h"
 
 namespace puffinvane::wire {
 
--- a/simulator_adapter/main.cpp
+++ b/tools/simulator_adapter/main.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "codec.h"
+#include "tools/simulator_adapter/codec.h"
 
 namespace puffinvane::wire {
 namespace {
