--- a/include/puffinvane/learned.h
+++ b/include/puffinvane/learned.h
@@ -7,44 +7,45 @@
 
 namespace puffinvane {
 
-enum class Health { Steady, Ejected, Recovering, Gone };
+enum class Health { Healthy, Ejected, Recovering, Removed };
 
-struct Answer {
-  double at = 0, stretch = 0;  // stretch: its latency over the calm one of its request class
+struct ResponseSample {
+  double completed_at_s = 0,
+         latency_ratio = 0;  // stretch: its latency over the calm one of its request class
   int depth = 0;
   bool in_time = false, failed = false;
-  friend bool operator==(const Answer&, const Answer&) = default;
+  friend bool operator==(const ResponseSample&, const ResponseSample&) = default;
 };
 
 // Of an endpoint as a whole, or of one request class's requests there.
 struct EndpointStatistics {
-  Health health = Health::Gone;
-  double hold = 0, hold_until = 0, last_answer = -1e9;
-  int allowance = 0;
-  std::vector<Answer> answers{};
-  double away_since = 0;        // ejected, and not in full use since
-  std::vector<double> aways{};  // how long its last absences were
+  Health health = Health::Removed;
+  double ejection_s = 0, ejected_until_s = 0, last_response_s = -1e9;
+  int recovery_limit = 0;
+  std::vector<ResponseSample> samples{};
+  double absent_since_s = 0;         // ejected, and not in full use since
+  std::vector<double> absences_s{};  // how long its last absences were
   friend bool operator==(const EndpointStatistics&, const EndpointStatistics&) = default;
 };
 
 // May be told in parts: what one does not speak of is empty.
-struct Learned {
-  struct OfClass {
+struct LearnedState {
+  struct RequestClassState {
     std::string name;
     std::deque<double> latencies, means;
-    friend bool operator==(const OfClass&, const OfClass&) = default;
+    friend bool operator==(const RequestClassState&, const RequestClassState&) = default;
   };
-  struct OfEndpoint {
+  struct EndpointState {
     std::string name;
-    double online_since = 0;
+    double online_since_s = 0;
     EndpointStatistics whole;
     std::vector<EndpointStatistics> by_class;  // in the order of classes
-    friend bool operator==(const OfEndpoint&, const OfEndpoint&) = default;
+    friend bool operator==(const EndpointState&, const EndpointState&) = default;
   };
-  std::vector<OfClass> classes;
-  std::vector<OfEndpoint> endpoints;
-  std::deque<double> late, rates;
-  double started = 0;  // 0: not told
+  std::vector<RequestClassState> classes;
+  std::vector<EndpointState> endpoints;
+  std::deque<double> lateness, completion_rates;
+  double started_at_s = 0;  // 0: not told
 };
 
 }  // namespace puffinvane
--- a/include/puffinvane/table.h
+++ b/include/puffinvane/table.h
@@ -5,7 +5,7 @@
 namespace puffinvane {
 
 template <typename Subject, typename State, typename Input, typename... Of>
-struct Row {
+struct Transition {
   State state;
   Input input;
   State next;
@@ -13,7 +13,7 @@
 };
 
 template <typename Rows, typename Subject, typename State, typename Input, typename... Of>
-void step(const Rows& rows, Subject& subject, State& state, Input input, Of&... of) {
+void apply_transition(const Rows& rows, Subject& subject, State& state, Input input, Of&... of) {
   for (const auto& row : rows) {
     if (row.state == state && row.input == input) return state = row.next, (subject.*row.effect)(of...);
   }
--- a/src/admin/operations.cpp
+++ b/src/admin/operations.cpp
@@ -10,7 +10,7 @@
 constexpr double kSettled = 1.2;
 }  // namespace
 
-const Row<Operations, Operations::Drain, Operations::Input> Operations::kRows[] = {
+const Transition<Operations, Operations::Drain, Operations::Input> Operations::kRows[] = {
     {Drain::Serving, Input::Evacuate, Drain::Telling, &Operations::nothing},
     {Drain::Telling, Input::Noticed, Drain::Parting, &Operations::part},
     {Drain::Telling, Input::Rejoin, Drain::Serving, &Operations::serve},
@@ -19,7 +19,7 @@
     {Drain::Emptying, Input::Rejoin, Drain::Serving, &Operations::serve},
 };
 
-void Operations::turn(Input input) { step(kRows, *this, drain_, input); }
+void Operations::turn(Input input) { apply_transition(kRows, *this, drain_, input); }
 
 bool Operations::exclude(double now, std::string_view endpoint) {
   if (out(endpoint)) return true;
--- a/src/admin/operations.h
+++ b/src/admin/operations.h
@@ -46,7 +46,7 @@
  private:
   enum class Drain { Serving, Telling, Parting, Emptying };
   enum class Input { Evacuate, Noticed, Settled, Rejoin };
-  static const Row<Operations, Drain, Input> kRows[];
+  static const Transition<Operations, Drain, Input> kRows[];
   void turn(Input input);
   void nothing() {}
   void part() { host_.last_answers(true); }
--- a/src/admin/shadow_policy.cpp
+++ b/src/admin/shadow_policy.cpp
@@ -17,31 +17,31 @@
 class ShadowPolicy::Listener final : public Host {
  public:
   Listener(ShadowPolicy& owner, Side side) : owner_(owner), side_(side) {}
-  void attempt(RequestId request, std::string_view endpoint, double abandon_at) override {
+  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override {
     owner_.attempted(side_, request, endpoint);
-    if (side_ == Acting) owner_.host_.attempt(request, endpoint, abandon_at);
+    if (side_ == Acting) owner_.host_.start_attempt(request, endpoint, abandon_at);
   }
-  void cancel(RequestId request, int number) override {
-    if (side_ == Acting) owner_.host_.cancel(request, number);
+  void cancel_attempt(RequestId request, int number) override {
+    if (side_ == Acting) owner_.host_.cancel_attempt(request, number);
     else owner_.cancelled(request, number);
   }
-  void reject(RequestId request, double wait) override {
+  void reject_request(RequestId request, double wait) override {
     owner_.answered(side_, request);
-    if (side_ == Acting) owner_.host_.reject(request, wait);
+    if (side_ == Acting) owner_.host_.reject_request(request, wait);
   }
-  void fail(RequestId request) override {
+  void fail_request(RequestId request) override {
     owner_.answered(side_, request);
-    if (side_ == Acting) owner_.host_.fail(request);
+    if (side_ == Acting) owner_.host_.fail_request(request);
   }
-  void wake(double at, std::uint64_t token) override { owner_.wake(side_, at, token); }
-  void follow_list(bool want) override {
-    if (side_ == Acting) owner_.host_.follow_list(want);
+  void schedule_timer(double at, std::uint64_t token) override { owner_.wake(side_, at, token); }
+  void poll_endpoint_list(bool want) override {
+    if (side_ == Acting) owner_.host_.poll_endpoint_list(want);
   }
   void log(std::string_view text) override {
     if (side_ == Acting) owner_.host_.log(text);
   }
-  void judged(Judged what, RequestId request) override {
-    if (what == Judged::Ejected) ++owner_.ejections_[side_];
+  void on_observation(PolicyObservation what, RequestId request) override {
+    if (what == PolicyObservation::EndpointEjected) ++owner_.ejections_[side_];
     else if (auto found = owner_.requests_.find(request); found != owner_.requests_.end())
       found->second.over_share[side_] = true;
   }
@@ -84,49 +84,50 @@
   auto [known, fresh] = wakes_by_time_.try_emplace({at, token}, last_wake_ + 1);
   if (fresh) {
     wakes_[++last_wake_] = {at, token, {}};
-    host_.wake(at, last_wake_);
+    host_.schedule_timer(at, last_wake_);
   }
   wakes_.at(known->second).wanted[side] = true;
 }
 
 // ---- what happens
 
-void ShadowPolicy::list(double now, ListScope scope, std::span<const ListEntry> entries) {
+void ShadowPolicy::on_endpoint_list(double now, ListScope scope, std::span<const ListEntry> entries) {
   now_ = now;
-  for (auto& side : sides_) side->list(now, scope, entries);
+  for (auto& side : sides_) side->on_endpoint_list(now, scope, entries);
   compare(now);
 }
 
-void ShadowPolicy::arrive(double now, const Request& request) {
+void ShadowPolicy::on_request(double now, const Request& request) {
   now_ = now;
   ++counted_.requests;
   requests_[request.id];
-  for (auto& side : sides_) side->arrive(now, request);
+  for (auto& side : sides_) side->on_request(now, request);
   compare(now);
 }
 
-void ShadowPolicy::attempt_ended(double now, const AttemptEnd& end) {
+void ShadowPolicy::on_attempt_ended(double now, const AttemptEnd& end) {
   now_ = now;
   auto found = requests_.find(end.request);
-  if (found != requests_.end()) found->second.attempts[Acting].at(std::size_t(end.number)).out = false;
-  sides_[Acting]->attempt_ended(now, end);
+  if (found != requests_.end())
+    found->second.attempts[Acting].at(std::size_t(end.attempt_number)).out = false;
+  sides_[Acting]->on_attempt_ended(now, end);
   if (found != requests_.end()) {
-    end_imagined(now, end.request, end.number, &end);
-    if (end.concluded) close(now, end.request);
+    end_imagined(now, end.request, end.attempt_number, &end);
+    if (end.request_concluded) close(now, end.request);
     touched_.push_back(end.request);
   }
   compare(now);
 }
 
-void ShadowPolicy::withdrawn(double now, RequestId request) {
+void ShadowPolicy::on_request_cancelled(double now, RequestId request) {
   now_ = now;
-  sides_[Acting]->withdrawn(now, request);
+  sides_[Acting]->on_request_cancelled(now, request);
   close(now, request);
   touched_.push_back(request);
   compare(now);
 }
 
-void ShadowPolicy::woken(double now, std::uint64_t token) {
+void ShadowPolicy::on_timer(double now, std::uint64_t token) {
   now_ = now;
   auto found = wakes_.find(token);
   if (found == wakes_.end()) return;
@@ -134,7 +135,7 @@
   wakes_by_time_.erase({wake.at, wake.token});
   wakes_.erase(found);
   for (Side side : {Acting, Imagined}) {
-    if (wake.wanted[side]) sides_[side]->woken(now, wake.token);
+    if (wake.wanted[side]) sides_[side]->on_timer(now, wake.token);
   }
   compare(now);
 }
@@ -147,16 +148,16 @@
   Attempt& attempt = compared.attempts[Imagined][std::size_t(number)];
   if (!std::exchange(attempt.out, false)) return;
   AttemptEnd end{request, number, Outcome::Cancelled, false, now - attempt.sent, {}};
-  if (as) end.concluded = as->concluded;
+  if (as) end.request_concluded = as->request_concluded;
   if (as && attempt.endpoint == compared.attempts[Acting][std::size_t(number)].endpoint) end = *as;
-  sides_[Imagined]->attempt_ended(now, end);
+  sides_[Imagined]->on_attempt_ended(now, end);
 }
 
 void ShadowPolicy::close(double now, RequestId request) {
   auto found = requests_.find(request);
   if (found == requests_.end()) return;
   if (!std::exchange(found->second.concluded, true) && !found->second.answered[Imagined])
-    sides_[Imagined]->withdrawn(now, request);
+    sides_[Imagined]->on_request_cancelled(now, request);
 }
 
 // Counts a request's differences and forgets it, once it has its answer and none of its attempts is out.
--- a/src/admin/shadow_policy.h
+++ b/src/admin/shadow_policy.h
@@ -27,22 +27,22 @@
                Differences& counted, const PolicyMaker& make);
   ~ShadowPolicy() override;
 
-  void list(double now, ListScope scope, std::span<const ListEntry> entries) override;
-  void arrive(double now, const Request& request) override;
-  void attempt_ended(double now, const AttemptEnd& end) override;
-  void withdrawn(double now, RequestId request) override;
-  void woken(double now, std::uint64_t token) override;
-  void leave(double now, double until) override {
+  void on_endpoint_list(double now, ListScope scope, std::span<const ListEntry> entries) override;
+  void on_request(double now, const Request& request) override;
+  void on_attempt_ended(double now, const AttemptEnd& end) override;
+  void on_request_cancelled(double now, RequestId request) override;
+  void on_timer(double now, std::uint64_t token) override;
+  void on_shutdown(double now, double until) override {
     now_ = now;
-    for (const auto& side : sides_) side->leave(now, until);
+    for (const auto& side : sides_) side->on_shutdown(now, until);
   }
-  void place(int me, int sidecars) override {
-    for (auto& side : sides_) side->place(me, sidecars);
+  void on_instance_position(int me, int sidecars) override {
+    for (auto& side : sides_) side->on_instance_position(me, sidecars);
   }
-  std::size_t avoided() const override { return sides_[Acting]->avoided(); }
-  Learned learned() const override { return sides_[Acting]->learned(); }
-  void inherit(double now, const Learned& earlier, double share) override {
-    for (const auto& side : sides_) side->inherit(now, earlier, share);
+  std::size_t avoided_endpoint_count() const override { return sides_[Acting]->avoided_endpoint_count(); }
+  LearnedState export_learned_state() const override { return sides_[Acting]->export_learned_state(); }
+  void import_learned_state(double now, const LearnedState& earlier, double share) override {
+    for (const auto& side : sides_) side->import_learned_state(now, earlier, share);
   }
 
  private:
--- a/src/config/language/read.cpp
+++ b/src/config/language/read.cpp
@@ -106,12 +106,13 @@
      [](RequestClass& it, const Value& v) { it.idempotency = Idempotency(int(v.number)); }, true},
     {"group", Shape::Group, 0, 0, [](RequestClass& it, const Value& v) { it.group = Group(int(v.number)); }},
     {"memory", Shape::Time, 1e-3, kDay,
-     [](RequestClass& it, const Value& v) { it.idempotency_window = v.number; }},
+     [](RequestClass& it, const Value& v) { it.idempotency_window_s = v.number; }},
     {"target-latency", Shape::Time, 1e-3, 60,
-     [](RequestClass& it, const Value& v) { it.latency_objective = v.number; }, true},
+     [](RequestClass& it, const Value& v) { it.latency_objective_s = v.number; }, true},
     {"client-timeout", Shape::Time, 1e-3, 600,
-     [](RequestClass& it, const Value& v) { it.client_timeout = v.number; }, true},
-    {"credit", Shape::Number, 0, 1e6, [](RequestClass& it, const Value& v) { it.credit = v.number; }},
+     [](RequestClass& it, const Value& v) { it.client_timeout_s = v.number; }, true},
+    {"credit", Shape::Number, 0, 1e6,
+     [](RequestClass& it, const Value& v) { it.priority_weight = v.number; }},
 });
 constexpr auto kCustomerKeys = std::to_array<Key<Tenant>>({
     {"share", Shape::Share, 0.0001, 1, [](Tenant& it, const Value& v) { it.share = v.number; }},
--- a/src/config/settings/deployment.cpp
+++ b/src/config/settings/deployment.cpp
@@ -88,10 +88,10 @@
     read.name = option<std::string>(request_class, "Name", "");
     read.idempotency = read_idempotency(option<std::string>(request_class, "Idempotency", "once"));
     read.group = read_group(option<std::string>(request_class, "Group", "cell"));
-    read.idempotency_window = option(request_class, "MemorySpanS", 0.0);
-    read.latency_objective = option(request_class, "TargetLatencyS", 1.0);
-    read.client_timeout = option(request_class, "ClientTimeoutS", read.client_timeout);
-    read.credit = option(request_class, "Credit", 1.0);
+    read.idempotency_window_s = option(request_class, "MemorySpanS", 0.0);
+    read.latency_objective_s = option(request_class, "TargetLatencyS", 1.0);
+    read.client_timeout_s = option(request_class, "ClientTimeoutS", read.client_timeout_s);
+    read.priority_weight = option(request_class, "Credit", 1.0);
     deployment.request_classes.push_back(read);
   }
   if (deployment.request_classes.empty()) throw Malformed("the options have no PathPrefixes");
@@ -106,30 +106,32 @@
   deployment.max_attempts = option(limits, "MaxBackendFetches", 1);
   deployment.parallel_attempts = option(limits, "ParallelTries", false);
   deployment.may_cancel = option(limits, "MayCancel", false);
-  deployment.advises_wait = option(limits, "RetryAfter", false);
-  deployment.connect_timeout = option(limits, "ConnectTimeoutS", deployment.connect_timeout);
-  deployment.idle_time = option(limits, "ConnIdleS", deployment.idle_time);
-  deployment.longest_wait_advice = option(limits, "MaxRetryAfterS", 0.0);
-  if (element fees; !options["Fees"].get(fees)) deployment.crossing_price = amount(fees, "CrossZone", 0.0);
-  if (element extra; !options["Extra"].get(extra)) deployment.warm_keys = flag(extra, "WarmKeys", false);
+  deployment.sends_retry_after = option(limits, "RetryAfter", false);
+  deployment.connect_timeout_s = option(limits, "ConnectTimeoutS", deployment.connect_timeout_s);
+  deployment.idle_timeout_s = option(limits, "ConnIdleS", deployment.idle_timeout_s);
+  deployment.max_retry_after_s = option(limits, "MaxRetryAfterS", 0.0);
+  if (element fees; !options["Fees"].get(fees)) deployment.cross_zone_price = amount(fees, "CrossZone", 0.0);
+  if (element extra; !options["Extra"].get(extra))
+    deployment.has_key_affinity = flag(extra, "WarmKeys", false);
   deployment.zone = option<std::string>(options, "Zone", "");
   if (element report; !options["Report"].get(report)) {
     std::string via = word(report, "Via", "silent");
     if (via != "piggyback" && via != "pull" && via != "silent")
       throw Malformed("Via is '" + via + "', not piggyback, pull or silent");
-    deployment.answers_report_load = via == "piggyback" && served_reported(report);
+    deployment.responses_report_load = via == "piggyback" && served_reported(report);
   }
   element rules = child(options, "Rules");
-  deployment.slow_start.share = option(rules, "ColdShare", deployment.slow_start.share);
-  deployment.slow_start.warm_after = option(rules, "ColdS", deployment.slow_start.warm_after);
-  deployment.slow_start.multiple =
-      std::max(1.0, option(rules, "TipMultiple", deployment.slow_start.multiple));
-  deployment.slow_start.window = std::max(0.1, option(rules, "FallS", deployment.slow_start.window));
+  deployment.slow_start.initial_share = option(rules, "ColdShare", deployment.slow_start.initial_share);
+  deployment.slow_start.duration_s = option(rules, "ColdS", deployment.slow_start.duration_s);
+  deployment.slow_start.overload_multiple =
+      std::max(1.0, option(rules, "TipMultiple", deployment.slow_start.overload_multiple));
+  deployment.slow_start.overload_window_s =
+      std::max(0.1, option(rules, "FallS", deployment.slow_start.overload_window_s));
   deployment.only_draining_binds = flag(rules, "DrainBindsAlone", false);
-  deployment.ask_within = option(rules, "AskWithinS", deployment.ask_within);
-  deployment.credit_by_work = option<std::string>(options, "CreditBasis", "request") == "work";
-  deployment.me = option(options, "Me", 0);
-  deployment.sidecars = std::max(1, option(options, "PeersTotal", 1));
+  deployment.list_poll_interval_s = option(rules, "AskWithinS", deployment.list_poll_interval_s);
+  deployment.priority_by_work = option<std::string>(options, "CreditBasis", "request") == "work";
+  deployment.instance_index = option(options, "Me", 0);
+  deployment.instance_count = std::max(1, option(options, "PeersTotal", 1));
   deployment.tier = option(options, "Layer", 0);
   if (element tiers; !options["Tiers"].get(tiers)) {
     std::size_t count = items(options, "Tiers").size();
@@ -137,8 +139,8 @@
       throw Malformed("Layer is " + std::to_string(deployment.tier) + ", not a place in Tiers");
     deployment.last_tier = std::size_t(deployment.tier) + 1 == count;
   }
-  deployment.round = option(options, "RoundS", 0.0);
-  deployment.list_on_request = option<std::string>(options, "RegistryMode", "pushed") == "on_request";
+  deployment.round_trip_s = option(options, "RoundS", 0.0);
+  deployment.polls_endpoint_list = option<std::string>(options, "RegistryMode", "pushed") == "on_request";
   return deployment;
 }
 
--- a/src/config/site/check.cpp
+++ b/src/config/site/check.cpp
@@ -82,11 +82,11 @@
   void request_classes() {
     for (const RequestClass& one : site_.request_classes) {
       std::string of = "prefix " + one.name;
-      if (one.client_timeout < one.latency_objective)
+      if (one.client_timeout_s < one.latency_objective_s)
         say(of + "/client-timeout", "the client timeout is under the target latency");
-      if (one.idempotency == Idempotency::Keyed && one.idempotency_window <= 0)
+      if (one.idempotency == Idempotency::Keyed && one.idempotency_window_s <= 0)
         say(of + "/kind", "a tagged prefix needs a `memory`: for how long endpoints know their tags");
-      if (one.idempotency != Idempotency::Keyed && one.idempotency_window > 0)
+      if (one.idempotency != Idempotency::Keyed && one.idempotency_window_s > 0)
         say(of + "/memory", "only a tagged prefix has a memory");
     }
   }
--- a/src/config/site/facts.cpp
+++ b/src/config/site/facts.cpp
@@ -100,11 +100,11 @@
     add(of + "/kind", name_of(request_class.idempotency));
     if (request_class.idempotency == Idempotency::Keyed) {
       add(of + "/group", name_of(request_class.group));
-      add(of + "/memory", seconds(request_class.idempotency_window));
+      add(of + "/memory", seconds(request_class.idempotency_window_s));
     }
-    add(of + "/target-latency", seconds(request_class.latency_objective));
-    add(of + "/client-timeout", seconds(request_class.client_timeout));
-    add(of + "/credit", text(request_class.credit));
+    add(of + "/target-latency", seconds(request_class.latency_objective_s));
+    add(of + "/client-timeout", seconds(request_class.client_timeout_s));
+    add(of + "/credit", text(request_class.priority_weight));
   }
   void tenant(const Tenant& tenant) {
     std::string of = "customer " + tenant.name;
--- a/src/config/site/site.cpp
+++ b/src/config/site/site.cpp
@@ -33,8 +33,8 @@
     if (!share_endpoints(pool, other)) continue;
     ++sharing, before += other.name < pool.name;
   }
-  deployment.sidecars = site.limits.instances * sharing;
-  deployment.me = before;
+  deployment.instance_count = site.limits.instances * sharing;
+  deployment.instance_index = before;
   for (const Tenant& tenant : site.tenants) {
     double quota = tenant.quota.value_or(tenant.share.value_or(0) * site.limits.requests);
     deployment.tenants.push_back({tenant.name, quota * sharing});  // it may come by one pool only
@@ -44,12 +44,12 @@
   deployment.max_attempts = pool.max_attempts;
   deployment.parallel_attempts = pool.hedging;
   deployment.may_cancel = pool.cancel;
-  deployment.advises_wait = pool.retry_after > 0;
-  deployment.longest_wait_advice = pool.retry_after;
-  deployment.connect_timeout = pool.connect_timeout;
-  deployment.idle_time = pool.idle_time;
+  deployment.sends_retry_after = pool.retry_after > 0;
+  deployment.max_retry_after_s = pool.retry_after;
+  deployment.connect_timeout_s = pool.connect_timeout;
+  deployment.idle_timeout_s = pool.idle_time;
   deployment.zone = pool.zone;
-  deployment.round = kRound;
+  deployment.round_trip_s = kRound;
   return deployment;
 }
 
--- a/src/config/site/site_test.cpp
+++ b/src/config/site/site_test.cpp
@@ -46,7 +46,7 @@
   site.tenants[0].share = 0.6, site.tenants[1] = {"y", 0.5, {}};
   assert(says(site, "customer y/share", "110%, over 100%"));
   site = sample();
-  site.request_classes[0].client_timeout = 0.4;
+  site.request_classes[0].client_timeout_s = 0.4;
   assert(says(site, "prefix status/client-timeout", "under the target latency"));
   site = sample();
   site.pools[1].endpoints[0].address = "127.0.0.1:5", site.pools[1].discovery = "127.0.0.1:9";
@@ -87,7 +87,7 @@
 void each_value_that_changes_is_one_difference() {
   Site before = sample(), after = sample();
   after.pools[0].endpoints[1].address = "127.0.0.1:6";
-  after.request_classes[1].client_timeout = 1.5;
+  after.request_classes[1].client_timeout_s = 1.5;
   after.routes.push_back(route("t", "/c", "two"));
   after.routes[2].conditions = {{"X", Condition::Test::Is, "1"}};
   after.pools[1].hedging = false;
@@ -118,7 +118,7 @@
 void another_pool_s_prefix_changes_nothing_for_a_pool() {
   Site before = sample(), after = sample();
   after.routes[1].request_class = "consent";
-  after.request_classes[1].client_timeout = 3;
+  after.request_classes[1].client_timeout_s = 3;
   assert(deployment_of(before, before.pools[0]) == deployment_of(after, after.pools[0]));
   assert(!(deployment_of(before, before.pools[1]) == deployment_of(after, after.pools[1])));
   Deployment deployment = deployment_of(after, after.pools[0]);
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -35,12 +35,14 @@
     std::string status = text(one, "status", true);
     if (status != "active" && status != "leaving" && status != "left")
       throw Malformed("a list entry has the unknown status " + status);
-    entry.state = status == "active" ? Listed::Ready : status == "leaving" ? Listed::Draining : Listed::Gone;
+    entry.state = status == "active"    ? ListedState::Ready
+                  : status == "leaving" ? ListedState::Draining
+                                        : ListedState::Removed;
     if (one["group"].get(entry.cell)) entry.cell = 0;
-    entry.units = number(one, "weight", 1);
-    if (!(entry.units > 0)) entry.units = 1;
+    entry.weight = number(one, "weight", 1);
+    if (!(entry.weight > 0)) entry.weight = 1;
     read.since_ms.push_back(std::max(0.0, number(one, "since_ms", 0)));
-    read.addresses.push_back(text(one, "address", entry.state != Listed::Gone));
+    read.addresses.push_back(text(one, "address", entry.state != ListedState::Removed));
     read.entries.push_back(std::move(entry));
   }
   return read;
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -39,7 +39,7 @@
 constexpr std::size_t kMostAtOnce = 8 << 20;
 }  // namespace
 
-const Row<DiscoveryWatch, DiscoveryWatch::State, DiscoveryWatch::Input> DiscoveryWatch::kRows[] = {
+const Transition<DiscoveryWatch, DiscoveryWatch::State, DiscoveryWatch::Input> DiscoveryWatch::kRows[] = {
     {State::BackingOff, Input::BackedOff, State::Connecting, &DiscoveryWatch::open},
     {State::BackingOff, Input::Moved, State::Connecting, &DiscoveryWatch::open},
     {State::Connecting, Input::Moved, State::Connecting, &DiscoveryWatch::open},
@@ -73,7 +73,7 @@
 
 double DiscoveryWatch::first() const { return asking_ == Asking::Free ? kFirstList : kFirstLine; }
 
-void DiscoveryWatch::turn(Input input) { step(kRows, *this, state_, input); }
+void DiscoveryWatch::turn(Input input) { apply_transition(kRows, *this, state_, input); }
 
 double DiscoveryWatch::limit() const {
   if (state_ == State::Connecting) return kConnect;
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -44,7 +44,7 @@
  private:
   enum class State { BackingOff, Connecting, Asked, Listening, Over };
   enum class Input { BackedOff, Connected, Heard, Overdue, Ended, Nonsense, Moved };
-  static const Row<DiscoveryWatch, State, Input> kRows[];
+  static const Transition<DiscoveryWatch, State, Input> kRows[];
   void turn(Input input);
   void ask();
   void listen();
--- a/src/discovery/discovery_watch_test.cpp
+++ b/src/discovery/discovery_watch_test.cpp
@@ -79,7 +79,7 @@
   }
   void on_list(const EndpointList& list) override {
     heard.push_back(now());
-    if (!list.entries.empty()) started = list.entries.front().online_since;
+    if (!list.entries.empty()) started = list.entries.front().online_since_s;
   }
   std::vector<double> heard;
   double started = 0;  // the first endpoint of the last list
--- a/src/discovery/endpoint_starts.cpp
+++ b/src/discovery/endpoint_starts.cpp
@@ -26,8 +26,8 @@
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry& entry = list.entries[i];
     const Bounds& bounds = starts_.contains(entry.endpoint) ? known_names : new_names;
-    entry.online_since = judge(entry.endpoint, list.since_ms[i], bounds, offset);
-    if (entry.state == Listed::Gone) unlist(entry.endpoint, starts_[entry.endpoint]);
+    entry.online_since_s = judge(entry.endpoint, list.since_ms[i], bounds, offset);
+    if (entry.state == ListedState::Removed) unlist(entry.endpoint, starts_[entry.endpoint]);
   }
   if (list.whole) unlist_missing();
   forget_oldest();
@@ -44,12 +44,12 @@
   Bounds open{Bounds().absent_until, now};
   ++lists_;
   for (std::size_t i = 0; i < known.entries.size(); ++i)
-    known.entries[i].online_since = judge(known.entries[i].endpoint, known.since_ms[i], open, offset);
+    known.entries[i].online_since_s = judge(known.entries[i].endpoint, known.since_ms[i], open, offset);
 }
 
 void EndpointStarts::take_over(const EndpointList& list) {
   for (std::size_t i = 0; i < list.entries.size(); ++i)
-    starts_[list.entries[i].endpoint] = {list.since_ms[i], 0, list.entries[i].online_since, lists_, true};
+    starts_[list.entries[i].endpoint] = {list.since_ms[i], 0, list.entries[i].online_since_s, lists_, true};
   if (list.heard_at > 0) heard_at_ = list.heard_at;
 }
 
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_starts_test.cpp
@@ -23,7 +23,7 @@
 struct Stated {
   std::string name;
   double started = kLongAgo;
-  Listed state = Listed::Ready;
+  ListedState state = ListedState::Ready;
 };
 
 EndpointList list_at(double heard_at, const std::vector<Stated>& endpoints, bool whole = true) {
@@ -42,7 +42,7 @@
 std::vector<double> heard(EndpointStarts& starts, EndpointList list, const ClockOffsets& offsets) {
   starts.hear(list, offsets);
   std::vector<double> started;
-  for (const ListEntry& entry : list.entries) started.push_back(entry.online_since);
+  for (const ListEntry& entry : list.entries) started.push_back(entry.online_since_s);
   return started;
 }
 double heard(EndpointStarts& starts, double at, const std::vector<Stated>& endpoints, double wrong = 0) {
@@ -133,10 +133,10 @@
   EndpointStarts starts;
   EndpointList known = list_at(0, {{"a", 10}, {"b", 20}});
   starts.recall(known, 100, {kRight, {}});
-  assert(about(known.entries[0].online_since, 10));
+  assert(about(known.entries[0].online_since_s, 10));
   std::vector<double> started =
       heard(starts, list_at(100.1, {{"a", 10}, {"b", 50}, {"c", 60}}), {kRight, {}});
-  assert(started[0] == known.entries[0].online_since && about(started[1], 50) && about(started[2], 60));
+  assert(started[0] == known.entries[0].online_since_s && about(started[1], 50) && about(started[2], 60));
 }
 
 // The clock was wrong before the process started, and the first list that it hears tells of a start of a
@@ -171,7 +171,7 @@
     heard(predecessor, 100, {{"a"}, {"b"}, {"c"}});
     EndpointList list = list_at(104, {{"a", 103}, {"b"}, {"c"}});
     predecessor.hear(list, {kRight, {}});
-    list.entries[1].online_since = 103.7;  // cold by order
+    list.entries[1].online_since_s = 103.7;  // cold by order
     predecessor.annotate(list);
     EndpointStarts successor;
     successor.take_over(list);
@@ -179,7 +179,7 @@
     successor.recall(known, 104.2, {kRight + step, {}});
     std::vector<double> started =
         heard(successor, list_at(104.5, {{"a", 103}, {"b"}, {"c", 104.1}}), {kRight + step, {}});
-    assert(started[0] == list.entries[0].online_since && started[1] == 103.7);
+    assert(started[0] == list.entries[0].online_since_s && started[1] == 103.7);
     assert(started[2] >= 104 && started[2] <= 104.5);
     assert(known.entries == list.entries);
   }
@@ -202,7 +202,7 @@
   for (int i = 0; i < 20000; ++i)
     heard(starts, list_at(100 + i, {{"s-" + std::to_string(i), 100.0 + i}}, i % 2 == 0), {kRight, {}});
   for (int i = 0; i < 20000; ++i)
-    heard(starts, list_at(30000 + i, {{"t-" + std::to_string(i), kLongAgo, Listed::Gone}}, false),
+    heard(starts, list_at(30000 + i, {{"t-" + std::to_string(i), kLongAgo, ListedState::Removed}}, false),
           {kRight, {}});
   assert(starts.known() <= EndpointStarts::kRemembered + 2);
 }
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -36,7 +36,7 @@
   return all;
 }
 
-const Row<Membership, Membership::Probe, Membership::Input> Membership::kProbe[] = {
+const Transition<Membership, Membership::Probe, Membership::Input> Membership::kProbe[] = {
     {Probe::Idle, Input::Due, Probe::Asked, &Membership::begin_probe},
     {Probe::Asked, Input::Silent, Probe::Helped, &Membership::ask_for_help},
     {Probe::Asked, Input::Answered, Probe::Idle, &Membership::probe_answered},
@@ -71,11 +71,11 @@
   now_ = now, asked_wake_ = -1;
   if (departed_) return;
   if (!superseded_) {
-    if (now >= next_step_) step(kProbe, *this, probe_, Input::Silent);
+    if (now >= next_step_) apply_transition(kProbe, *this, probe_, Input::Silent);
     if (now >= next_probe_) {
-      step(kProbe, *this, probe_, Input::Over);
+      apply_transition(kProbe, *this, probe_, Input::Over);
       next_probe_ = now + pace_.probe * (1 + awareness_);
-      step(kProbe, *this, probe_, Input::Due);
+      apply_transition(kProbe, *this, probe_, Input::Due);
     }
     help_due();
     suspicions_due();
@@ -383,7 +383,8 @@
       if (message.about == me_.name) send(source, {Message::Kind::Ack, message.number, {}, {}, 0, {}});
       break;
     case Message::Kind::Ack: {
-      if (probe_ != Probe::Idle && message.number == number_) step(kProbe, *this, probe_, Input::Answered);
+      if (probe_ != Probe::Idle && message.number == number_)
+        apply_transition(kProbe, *this, probe_, Input::Answered);
       std::erase_if(helping_, [&](const Helped& one) {
         if (one.number != message.number) return false;
         send(one.address, {Message::Kind::Ack, one.asked, {}, {}, 0, {}});
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -77,7 +77,7 @@
  private:
   enum class Probe { Idle, Asked, Helped };
   enum class Input { Due, Silent, Answered, Over };
-  static const Row<Membership, Probe, Input> kProbe[];
+  static const Transition<Membership, Probe, Input> kProbe[];
   struct Suspicion {
     double from = 0, least = 0, longest = 0;
     std::set<std::string> accusers;
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -32,8 +32,8 @@
     virtual GSocket* listener() = 0;
     virtual EndpointList listing() const = 0;
     virtual OperatorOverrides overrides() const = 0;
-    virtual Learned learned() const = 0;
-    virtual void on_learned(const Learned& part) = 0;
+    virtual LearnedState learned() const = 0;
+    virtual void on_learned(const LearnedState& part) = 0;
     virtual void on_overrides(const OperatorOverrides& overrides) = 0;
     virtual void on_connection(Ref<GSocket> socket, bool asked) = 0;
     virtual void on_company(bool two) = 0;  // whether two processes share the limits
@@ -64,7 +64,7 @@
   const std::string place_;
   std::unique_ptr<Channel> predecessor_, successor_;
   struct Transfer {
-    Learned learned;
+    LearnedState learned;
     std::size_t sent = 0;  // endpoints
   };
   std::optional<Transfer> transfer_;
--- a/src/hot_restart/hot_restart_test.cpp
+++ b/src/hot_restart/hot_restart_test.cpp
@@ -17,8 +17,8 @@
   if (std::optional<ControlMessage> parsed = read_control_message(text)) {
     std::optional<ControlMessage> again = read_control_message(write_overrides(parsed->overrides));
     assert(again && again->overrides.out.size() == parsed->overrides.out.size());
-    for (const Learned::OfEndpoint& one : parsed->learned.endpoints)
-      assert(one.whole.health != Health::Gone && one.whole.answers.size() <= 64);
+    for (const LearnedState::EndpointState& one : parsed->learned.endpoints)
+      assert(one.whole.health != Health::Removed && one.whole.samples.size() <= 64);
     if (parsed->what == ControlMessage::What::Listing)
       assert(parsed->list.entries.size() == parsed->list.addresses.size() &&
              parsed->list.entries.size() == parsed->list.since_ms.size());
@@ -49,7 +49,7 @@
   EndpointList list;
   list.index = 41, list.whole = true, list.heard_at = 99.5, list.timed = true;
   for (std::size_t i = 0; i < count; ++i) {
-    Listed state = i % 3 == 0 ? Listed::Draining : Listed::Ready;
+    ListedState state = i % 3 == 0 ? ListedState::Draining : ListedState::Ready;
     list.entries.push_back(
         {"s-" + std::to_string(i), "z\"1", std::int64_t(i % 5), state, 0.5 + double(i), i % 2 ? 100.25 : 0});
     list.addresses.push_back("127.0.0.1:" + std::to_string(5000 + i));
@@ -82,19 +82,20 @@
   assert(parsed && parsed->overrides == OperatorOverrides());
 }
 
-Learned some_learned(std::size_t endpoints) {
-  Learned learned{{{"read", {0.1, 0.25}, {0.2}}, {"write \"x\"", {}, {}}}, {}, {0, 1, 1}, {3, 0, 5}, 12.125};
+LearnedState some_learned(std::size_t endpoints) {
+  LearnedState learned{
+      {{"read", {0.1, 0.25}, {0.2}}, {"write \"x\"", {}, {}}}, {}, {0, 1, 1}, {3, 0, 5}, 12.125};
   for (std::size_t i = 0; i < endpoints; ++i) {
     EndpointStatistics whole{Health(i % 3), 2,      30.5,
                              29.25,         int(i), {{29, 1.5, 2, true, false}, {30, 3, 1, false, true}}};
     EndpointStatistics statistics = whole;
-    statistics.answers.pop_back();
+    statistics.samples.pop_back();
     learned.endpoints.push_back({"s-" + std::to_string(i), i % 2 ? 100.25 : 0, whole, {whole, statistics}});
   }
   return learned;
 }
 
-std::vector<std::string> packets_of(const Learned& learned) {
+std::vector<std::string> packets_of(const LearnedState& learned) {
   std::vector<std::string> packets;
   std::size_t from = 0;
   do packets.push_back(write_learned(learned, from));
@@ -104,18 +105,19 @@
 
 void what_was_learned_is_read_back_as_it_was_of_any_number_of_endpoints() {
   for (std::size_t count : {0u, 1u, 13u, 200u, 1100u}) {
-    Learned learned = some_learned(count), back;
+    LearnedState learned = some_learned(count), back;
     for (const std::string& packet : packets_of(learned)) {
       std::optional<ControlMessage> parsed = read_control_message(packet);
       assert(packet.size() < 128 * 1024 && parsed && parsed->what == ControlMessage::What::Learned);
-      Learned part = std::move(parsed->learned);
+      LearnedState part = std::move(parsed->learned);
       assert(part.classes.size() == 2);
       part.endpoints.insert(part.endpoints.begin(), back.endpoints.begin(), back.endpoints.end());
       back.endpoints = part.endpoints;
       if (back.classes.empty()) back = std::move(part);
     }
     assert(back.endpoints == learned.endpoints && back.classes == learned.classes &&
-           back.late == learned.late && back.rates == learned.rates && back.started == learned.started);
+           back.lateness == learned.lateness && back.completion_rates == learned.completion_rates &&
+           back.started_at_s == learned.started_at_s);
   }
   // What no module can have learned is left out whole, and ends no handover.
   std::string gone = packets_of(some_learned(1))[0];
--- a/src/hot_restart/message.cpp
+++ b/src/hot_restart/message.cpp
@@ -23,16 +23,17 @@
 
 std::string text(const json& packet) { return packet.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-const char* status_of(Listed state) {
-  return state == Listed::Ready ? "active" : state == Listed::Draining ? "leaving" : "left";
+const char* status_of(ListedState state) {
+  return state == ListedState::Ready ? "active" : state == ListedState::Draining ? "leaving" : "left";
 }
 
 json written(const EndpointStatistics& statistics) {
   json answers = json::array();
-  for (const Answer& one : statistics.answers)
-    answers.push_back(json::array({one.at, one.stretch, one.depth, one.in_time, one.failed}));
-  return json::array({int(statistics.health), statistics.hold, statistics.hold_until, statistics.last_answer,
-                      statistics.allowance, std::move(answers)});
+  for (const ResponseSample& one : statistics.samples)
+    answers.push_back(
+        json::array({one.completed_at_s, one.latency_ratio, one.depth, one.in_time, one.failed}));
+  return json::array({int(statistics.health), statistics.ejection_s, statistics.ejected_until_s,
+                      statistics.last_response_s, statistics.recovery_limit, std::move(answers)});
 }
 
 using Element = simdjson::dom::element;
@@ -64,27 +65,28 @@
   auto parsed = fields(from, 6);
   EndpointStatistics statistics;
   statistics.health = Health(whole(parsed.at(0).value(), 0, int(Health::Recovering)));
-  statistics.hold = value<double>(parsed.at(1).value()),
-  statistics.hold_until = value<double>(parsed.at(2).value());
-  statistics.last_answer = value<double>(parsed.at(3).value());
-  statistics.allowance = whole(parsed.at(4).value(), 0, 1 << 20);
+  statistics.ejection_s = value<double>(parsed.at(1).value()),
+  statistics.ejected_until_s = value<double>(parsed.at(2).value());
+  statistics.last_response_s = value<double>(parsed.at(3).value());
+  statistics.recovery_limit = whole(parsed.at(4).value(), 0, 1 << 20);
   for (Element each : value<simdjson::dom::array>(parsed.at(5).value())) {
     auto answer = fields(each, 5);
-    statistics.answers.push_back({value<double>(answer.at(0).value()), value<double>(answer.at(1).value()),
+    statistics.samples.push_back({value<double>(answer.at(0).value()), value<double>(answer.at(1).value()),
                                   whole(answer.at(2).value(), 0, 1 << 20), value<bool>(answer.at(3).value()),
                                   value<bool>(answer.at(4).value())});
   }
-  if (statistics.answers.size() > kMostAnswers || statistics.hold < 0)
+  if (statistics.samples.size() > kMostAnswers || statistics.ejection_s < 0)
     throw Malformed("a repute out of its bounds");
   return statistics;
 }
 
-Learned read_learned(Element parsed) {
-  Learned learned;
+LearnedState read_learned(Element parsed) {
+  LearnedState learned;
   std::string_view clock;
   bool timed = !parsed[kClock].get(clock) && clock == kMonotonic;
-  learned.late = samples(parsed["late"].value()), learned.rates = samples(parsed["rates"].value());
-  learned.started = value<double>(parsed["started"].value());
+  learned.lateness = samples(parsed["late"].value()),
+  learned.completion_rates = samples(parsed["rates"].value());
+  learned.started_at_s = value<double>(parsed["started"].value());
   for (Element each : value<simdjson::dom::array>(parsed["prefixes"].value())) {
     auto request_class = fields(each, 3);
     learned.classes.push_back({std::string(value<std::string_view>(request_class.at(0).value())),
@@ -96,10 +98,10 @@
     auto one = fields(each, 4);
     auto since = value<double>(one.at(1).value());
     if (!timed && since > 0) continue;
-    Learned::OfEndpoint read{std::string(value<std::string_view>(one.at(0).value())),
-                             since,
-                             read_statistics(one.at(2).value()),
-                             {}};
+    LearnedState::EndpointState read{std::string(value<std::string_view>(one.at(0).value())),
+                                     since,
+                                     read_statistics(one.at(2).value()),
+                                     {}};
     for (Element statistics : value<simdjson::dom::array>(one.at(3).value()))
       read.by_class.push_back(read_statistics(statistics));
     learned.endpoints.push_back(std::move(read));
@@ -112,32 +114,32 @@
   if (parsed["heard_at"].get(list.heard_at)) return;
   auto entries = value<simdjson::dom::array>(parsed["endpoints"].value());
   std::size_t at = 0;
-  for (Element one : entries) list.entries[at++].online_since = value<double>(one["started"].value());
+  for (Element one : entries) list.entries[at++].online_since_s = value<double>(one["started"].value());
   list.timed = true;
 }
 
 }  // namespace
 
-std::string write_learned(const Learned& learned, std::size_t& from) {
+std::string write_learned(const LearnedState& learned, std::size_t& from) {
   json packet = head(ControlMessage::What::Learned), classes = json::array(), endpoints = json::array();
   bool first = from == 0;  // with all that is not one endpoint's
   for (const auto& [name, latencies, means] : learned.classes)
     classes.push_back(
         json::array({name, first ? json(latencies) : json::array(), first ? json(means) : json::array()}));
   for (std::size_t bytes = 0; from < learned.endpoints.size() && bytes < kFill; ++from) {
-    const Learned::OfEndpoint& one = learned.endpoints[from];
+    const LearnedState::EndpointState& one = learned.endpoints[from];
     json by_class = json::array();
     for (const EndpointStatistics& statistics : one.by_class) by_class.push_back(written(statistics));
-    json parsed = json::array({one.name, one.online_since, written(one.whole), std::move(by_class)});
+    json parsed = json::array({one.name, one.online_since_s, written(one.whole), std::move(by_class)});
     std::size_t size = text(parsed).size();
     if (size > kFill) continue;  // of so many request classes that it would fill a packet alone: learned anew
     endpoints.push_back(std::move(parsed)), bytes += size;
   }
   packet["prefixes"] = std::move(classes), packet["endpoints"] = std::move(endpoints);
-  packet["late"] = first ? json(learned.late) : json::array();
-  packet["rates"] = first ? json(learned.rates) : json::array();
+  packet["late"] = first ? json(learned.lateness) : json::array();
+  packet["rates"] = first ? json(learned.completion_rates) : json::array();
   packet[kClock] = kMonotonic;
-  packet["started"] = first ? learned.started : 0;
+  packet["started"] = first ? learned.started_at_s : 0;
   return text(packet);
 }
 
@@ -153,9 +155,9 @@
                          {"zone", one.zone},
                          {"group", one.cell},
                          {"status", status_of(one.state)},
-                         {"weight", one.units},
+                         {"weight", one.weight},
                          {"since_ms", list.since_ms[from]},
-                         {"started", one.online_since}});
+                         {"started", one.online_since_s}});
       bytes += text(entries.back()).size();
     }
     json packet = head(ControlMessage::What::Listing);
--- a/src/hot_restart/message.h
+++ b/src/hot_restart/message.h
@@ -23,8 +23,8 @@
   enum class What { Listing, Overrides, Listener, Connection, Whole, Serving, Learned } what = What::Whole;
   EndpointList list;
   OperatorOverrides overrides;
-  Learned learned;     // a part of it; empty where it can't be right
-  bool asked = false;  // of a client: it has sent a whole request before
+  LearnedState learned;  // a part of it; empty where it can't be right
+  bool asked = false;    // of a client: it has sent a whole request before
 };
 
 constexpr int kHandoverFormat = 1;
@@ -38,7 +38,7 @@
 std::string write_whole();
 std::string write_serving();
 // A packet of it, of the endpoints from `from` on, which it moves; all is told once that is their number.
-std::string write_learned(const Learned& learned, std::size_t& from);
+std::string write_learned(const LearnedState& learned, std::size_t& from);
 std::optional<ControlMessage> read_control_message(std::string_view packet);  // none: not to be understood
 
 }  // namespace puffinvane
--- a/src/http/headers.cpp
+++ b/src/http/headers.cpp
@@ -69,8 +69,8 @@
     for (int i = 0; i < best; ++i) {
       if (name == kDepths[i]) load.depth = figure, best = i;
     }
-    if (name == "qps" || name == "served_ps") load.served = figure;
-    if (name == "util" || name == "cpu_share") load.busy = std::min(figure, 1.0);
+    if (name == "qps" || name == "served_ps") load.requests_per_s = figure;
+    if (name == "util" || name == "cpu_share") load.cpu_utilization = std::min(figure, 1.0);
   });
   return load;
 }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -66,12 +66,13 @@
     latencies_.resize(classes), thresholds_.resize(classes), means_.resize(classes);
     services_.resize(classes + deployment_.tenants.size());
     weigh();
-    double turn = (deployment_.me % deployment_.sidecars + chance()) / deployment_.sidecars;
-    if (deployment_.list_on_request) ask_at_ = now + turn * deployment_.ask_within * 0.4;
-    host_.wake(now + kTick * (0.5 + chance()), kTickToken);
+    double turn =
+        (deployment_.instance_index % deployment_.instance_count + chance()) / deployment_.instance_count;
+    if (deployment_.polls_endpoint_list) ask_at_ = now + turn * deployment_.list_poll_interval_s * 0.4;
+    host_.schedule_timer(now + kTick * (0.5 + chance()), kTickToken);
   }
 
-  void list(double now, ListScope scope, std::span<const ListEntry> entries) override {
+  void on_endpoint_list(double now, ListScope scope, std::span<const ListEntry> entries) override {
     pass_time(now);
     if (scope == ListScope::Failed) return ask_again_later();
     if (scope != ListScope::Cached) asked_until_ = 0, ask_back_off_ = 0.5;
@@ -83,7 +84,7 @@
     pump();
   }
 
-  void arrive(double now, const Request& request) override {
+  void on_request(double now, const Request& request) override {
     pass_time(now);
     if (now - std::exchange(arrived_at_, now) > kQuiet) start_anew();
     RequestState accepted{request.id};
@@ -91,25 +92,26 @@
       ++accepted.class_index;
     accepted.services = {&services_[accepted.class_index]};
     accepted.over_share = over_share(request.tenant, accepted);
-    if (accepted.over_share) host_.judged(Judged::OverShare, request.id);
-    if (deployment_.warm_keys && !request.key.empty()) accepted.key = mixed(kMixer, request.key);
-    accepted.heavy = std::clamp(4 * request.work / class_of(accepted).latency_objective, 1.0, kHeaviest);
-    accepted.work = request.work;
-    if (request.work > 0) keep(works_, request.work, kLatencies);
-    accepted.until = now + request.time_left, accepted.lot = chance();
-    accepted.held_until = now + std::min(patience(accepted), request.time_left / 2);
+    if (accepted.over_share) host_.on_observation(PolicyObservation::OverQuota, request.id);
+    if (deployment_.has_key_affinity && !request.key.empty()) accepted.key = mixed(kMixer, request.key);
+    accepted.heavy = std::clamp(4 * request.work_s / class_of(accepted).latency_objective_s, 1.0, kHeaviest);
+    accepted.work = request.work_s;
+    if (request.work_s > 0) keep(works_, request.work_s, kLatencies);
+    accepted.until = now + request.remaining_time_s, accepted.lot = chance();
+    accepted.held_until = now + std::min(patience(accepted), request.remaining_time_s / 2);
     keep(arrived_, accepted.class_index, kLatencies);
     accepted.place = {rank(accepted), ++turns_};
     double worse = 0, mine = accepted.place.first + 1e-3 * chance();
     for (double other : ranks_) worse += other > mine;
     accepted.standing = worse / double(std::max<std::size_t>(1, ranks_.size()));
-    if (deployment_.answers_report_load) keep(ranks_, mine, kLatencies);
+    if (deployment_.responses_report_load) keep(ranks_, mine, kLatencies);
     held_.emplace(accepted.place, accepted.id);
     // Rule 1: the answer has to be out before the client timeout.
-    host_.wake(std::max(now, accepted.until - 2 * deployment_.round), kUntilToken | accepted.id);
+    host_.schedule_timer(std::max(now, accepted.until - 2 * deployment_.round_trip_s),
+                         kUntilToken | accepted.id);
     // Behind more than can be sent in its patience it would only wait to be turned away: better at once.
     double ahead = double(std::distance(held_.begin(), held_.find(accepted.place)));
-    bool hopeless = deployment_.answers_report_load ||
+    bool hopeless = deployment_.responses_report_load ||
                     (recent_rate_ > 0 && ahead > recent_rate_ * (accepted.held_until - now));
     RequestState& held = requests_[request.id] = std::move(accepted);
     bool nobody = !endpoints_.empty() && listed() == 0;  // all leave, by order or list: nothing to wait for
@@ -117,25 +119,27 @@
     pump();
   }
 
-  void attempt_ended(double now, const AttemptEnd& end) override {
+  void on_attempt_ended(double now, const AttemptEnd& end) override {
     pass_time(now);
     auto found = requests_.find(end.request);
-    if (found == requests_.end() || end.number >= int(found->second.attempts.size())) return;
+    if (found == requests_.end() || end.attempt_number >= int(found->second.attempts.size())) return;
     RequestState& request = found->second;
-    Attempt& attempt = request.attempts[end.number];
+    Attempt& attempt = request.attempts[end.attempt_number];
     if (!std::exchange(attempt.out, false)) return;
     Endpoint& endpoint = endpoints_[attempt.endpoint];
-    endpoint.out.erase({attempt.sent, key(request.id, end.number)});
-    endpoint.by_class[request.class_index].out.erase({attempt.sent, key(request.id, end.number)});
+    endpoint.out.erase({attempt.sent, key(request.id, end.attempt_number)});
+    endpoint.by_class[request.class_index].out.erase({attempt.sent, key(request.id, end.attempt_number)});
     attempt.may_have_run = end.outcome != Outcome::Refused && end.outcome != Outcome::ConnectFailed &&
                            end.outcome != Outcome::NotSent;
-    if (end.load.depth >= 0 || end.load.busy >= 0) endpoint.load = end.load, endpoint.load_at = now;
+    if (end.load.depth >= 0 || end.load.cpu_utilization >= 0)
+      endpoint.load = end.load, endpoint.load_at = now;
     judge(endpoint, request, attempt, end);
-    if (request.state != State::Done) turn(request, end.concluded ? Input::Over : after_loss(request));
+    if (request.state != State::Done)
+      turn(request, end.request_concluded ? Input::Over : after_loss(request));
     forget_if_over(found), pump();
   }
 
-  void withdrawn(double now, RequestId id) override {
+  void on_request_cancelled(double now, RequestId id) override {
     pass_time(now);
     auto found = requests_.find(id);
     if (found == requests_.end()) return;
@@ -143,26 +147,26 @@
     forget_if_over(found), pump();
   }
 
-  void leave(double now, double until) override {
+  void on_shutdown(double now, double until) override {
     pass_time(now);
     for (auto& [id, request] : requests_)
       if (request.until > until)
-        host_.wake((request.until = until) - 2 * deployment_.round, kUntilToken | id);
+        host_.schedule_timer((request.until = until) - 2 * deployment_.round_trip_s, kUntilToken | id);
   }
 
-  Learned learned() const override {
-    Learned snapshot{{}, {}, late_, rates_, started_};
+  LearnedState export_learned_state() const override {
+    LearnedState snapshot{{}, {}, late_, rates_, started_};
     for (std::size_t i = 0; i < latencies_.size(); ++i)
       snapshot.classes.push_back({deployment_.request_classes[i].name, latencies_[i], means_[i]});
     for (int i : known_) {
       const Endpoint& one = endpoints_[i];
-      if (one.health == Health::Gone) continue;
+      if (one.health == Health::Removed) continue;
       snapshot.endpoints.push_back(
           {one.name, one.online_since, one, {one.by_class.begin(), one.by_class.end()}});
     }
     return snapshot;
   }
-  void inherit(double now, const Learned& from, double share) override {
+  void import_learned_state(double now, const LearnedState& from, double share) override {
     pass_time(now);
     std::size_t shared = 0;  // request classes that both have, in the order of both
     for (; shared < std::min(from.classes.size(), latencies_.size()); ++shared) {
@@ -177,7 +181,7 @@
       if (found == index_.end()) continue;
       Endpoint& endpoint = endpoints_[found->second];
       if (online_since != endpoint.online_since) continue;
-      if (endpoint.health == Health::Gone || whole.health == Health::Gone) continue;
+      if (endpoint.health == Health::Removed || whole.health == Health::Removed) continue;
       know(found->second);
       endpoint.used_at = now;
       Health before = endpoint.health;
@@ -186,19 +190,21 @@
       for (std::size_t k = 0; k < std::min(shared, by_class.size()); ++k)
         static_cast<EndpointStatistics&>(endpoint.by_class[k]) = by_class[k];
     }
-    if (!from.rates.empty()) inherited_at_ = now;
-    if (!from.late.empty()) late_ = from.late;
+    if (!from.completion_rates.empty()) inherited_at_ = now;
+    if (!from.lateness.empty()) late_ = from.lateness;
     // Its first seconds are over: nobody knows less of the endpoints than a sidecar that has just started.
-    if (from.started > 0) started_ = std::min(started_, from.started);
-    while (rates_.size() < from.rates.size()) rates_.push_front(0);
-    for (std::size_t i = 1; i <= from.rates.size(); ++i)
-      rates_[rates_.size() - i] += share * from.rates[from.rates.size() - i];
+    if (from.started_at_s > 0) started_ = std::min(started_, from.started_at_s);
+    while (rates_.size() < from.completion_rates.size()) rates_.push_front(0);
+    for (std::size_t i = 1; i <= from.completion_rates.size(); ++i)
+      rates_[rates_.size() - i] += share * from.completion_rates[from.completion_rates.size() - i];
     recent_rate_ = best_rate(kRateTicks), calm_rate_ = best_rate(rates_.size());
   }
 
-  void place(int me, int all) override { deployment_.me = me, deployment_.sidecars = all, placed_ = true; }
-  std::size_t avoided() const override { return std::size_t(count(Health::Ejected)); }
-  void woken(double now, std::uint64_t token) override {
+  void on_instance_position(int me, int all) override {
+    deployment_.instance_index = me, deployment_.instance_count = all, placed_ = true;
+  }
+  std::size_t avoided_endpoint_count() const override { return std::size_t(count(Health::Ejected)); }
+  void on_timer(double now, std::uint64_t token) override {
     pass_time(now);
     if (token == kTickToken) return tick();
     auto found = requests_.find(static_cast<RequestId>(token));
@@ -233,46 +239,48 @@
     }
   }
   void forget_old_answers(ClassStatistics& statistics) const {
-    if (!statistics.answers.empty() && now_ - statistics.answers.back().at >= kSampleAge)
+    if (!statistics.samples.empty() && now_ - statistics.samples.back().completed_at_s >= kSampleAge)
       forget_answers(statistics);
   }
 
-  static const std::array<Row<Module, State, Input, RequestState>, 13> kRequestRows;
-  static const std::array<Row<Module, Health, HealthEvent, ClassStatistics>, 10> kHealthRows;
-  void turn(RequestState& request, Input input) { step(kRequestRows, *this, request.state, input, request); }
+  static const std::array<Transition<Module, State, Input, RequestState>, 13> kRequestRows;
+  static const std::array<Transition<Module, Health, HealthEvent, ClassStatistics>, 10> kHealthRows;
+  void turn(RequestState& request, Input input) {
+    apply_transition(kRequestRows, *this, request.state, input, request);
+  }
   void turn_health(ClassStatistics& statistics, HealthEvent event) {
     Health before = statistics.health;
-    step(kHealthRows, *this, statistics.health, event, statistics);
+    apply_transition(kHealthRows, *this, statistics.health, event, statistics);
     if (statistics.place >= 0 && statistics.health != before) note_turned(statistics, before);
   }
   // Counted as they change: a look at all endpoints for each request would cost what the list is long.
   void note_turned(const ClassStatistics& endpoint, Health before) {
     --healths_[std::size_t(before)];
     ++healths_[std::size_t(endpoint.health)];
-    if (endpoint.health == Health::Gone) gone_.insert(endpoint.place);
-    else if (before == Health::Gone) returned_.insert(endpoint.place);
+    if (endpoint.health == Health::Removed) gone_.insert(endpoint.place);
+    else if (before == Health::Removed) returned_.insert(endpoint.place);
   }
   // Statistics are kept of endpoints that were sent to (or inherited), not of all that are listed.
   void know(int at) {
     Endpoint& endpoint = endpoints_[at];
     if (!known_.insert(at).second) return;
     ClassStatistics fresh;
-    fresh.health = endpoint.health == Health::Gone ? Health::Gone : Health::Steady;
-    fresh.hold = kFirstHold;
+    fresh.health = endpoint.health == Health::Removed ? Health::Removed : Health::Healthy;
+    fresh.ejection_s = kFirstHold;
     endpoint.by_class.assign(deployment_.request_classes.size(), fresh);
   }
   // What lies outside of the part and was long not sent to is as one that never was.
   void forget_unused() {
     for (auto next = known_.begin(); next != known_.end();) {
       Endpoint& endpoint = endpoints_[*next];
-      auto steady = [](const ClassStatistics& statistics) { return statistics.health == Health::Steady; };
+      auto steady = [](const ClassStatistics& statistics) { return statistics.health == Health::Healthy; };
       bool unused = endpoint.own_weight == 0 && endpoint.out.empty() && now_ > endpoint.used_at + kUnused &&
                     steady(endpoint) && std::ranges::all_of(endpoint.by_class, steady);
       next = unused ? known_.erase(next) : std::next(next);
       if (!unused) continue;
       endpoint.by_class = {};
       static_cast<EndpointStatistics&>(endpoint) =
-          EndpointStatistics{.health = Health::Steady, .hold = kFirstHold};
+          EndpointStatistics{.health = Health::Healthy, .ejection_s = kFirstHold};
       endpoint.slow_until = 0;
     }
   }
@@ -296,35 +304,41 @@
     leave_count(request);
     held_.erase(request.place);
     for (std::size_t n = 0; deployment_.may_cancel && n < request.attempts.size(); ++n)
-      if (request.attempts[n].out) host_.cancel(request.id, int(n));
+      if (request.attempts[n].out) host_.cancel_attempt(request.id, int(n));
   }
   void reject(RequestState& request) {
     double wait =
-        request.over_share ? deployment_.longest_wait_advice : class_of(request).latency_objective / 4;
+        request.over_share ? deployment_.max_retry_after_s : class_of(request).latency_objective_s / 4;
     note_served(request, false);
-    host_.reject(request.id, deployment_.advises_wait ? std::min(wait, deployment_.longest_wait_advice) : 0);
+    host_.reject_request(request.id,
+                         deployment_.sends_retry_after ? std::min(wait, deployment_.max_retry_after_s) : 0);
     finish(request);
   }
-  void fail(RequestState& request) { note_served(request, false), host_.fail(request.id), finish(request); }
+  void fail(RequestState& request) {
+    note_served(request, false), host_.fail_request(request.id), finish(request);
+  }
 
   // ---- effects of the health table
   void nothing(ClassStatistics&) {}
   void eject(ClassStatistics& statistics) {
-    if (statistics.away_since == 0) statistics.away_since = now_;
-    statistics.hold_until = now_ + statistics.hold * (0.75 + 0.5 * chance());
-    statistics.hold = std::clamp(statistics.hold * 2, kFirstHold, kLongestHold);
-    forget_answers(statistics), host_.judged(Judged::Ejected, 0), stale_ = true;
+    if (statistics.absent_since_s == 0) statistics.absent_since_s = now_;
+    statistics.ejected_until_s = now_ + statistics.ejection_s * (0.75 + 0.5 * chance());
+    statistics.ejection_s = std::clamp(statistics.ejection_s * 2, kFirstHold, kLongestHold);
+    forget_answers(statistics), host_.on_observation(PolicyObservation::EndpointEjected, 0), stale_ = true;
     // What is lost there must not fill the room of the living until its client timeout.
     for (const auto& [sent, what] : statistics.out) leave_count(requests_.at(RequestId(what >> 8)));
   }
-  void begin_recovery(ClassStatistics& statistics) { statistics.allowance = 1, forget_answers(statistics); }
-  void widen_recovery(ClassStatistics& statistics) { statistics.allowance *= 2; }
+  void begin_recovery(ClassStatistics& statistics) {
+    statistics.recovery_limit = 1, forget_answers(statistics);
+  }
+  void widen_recovery(ClassStatistics& statistics) { statistics.recovery_limit *= 2; }
   // Half of what its last absences lasted stands for its next return; a second while none is known.
   void restore(ClassStatistics& statistics) {
-    if (statistics.away_since > 0)
-      keep(statistics.aways, now_ - std::exchange(statistics.away_since, 0.0), std::size_t{4});
-    statistics.hold =
-        statistics.aways.empty() ? kFirstHold : std::clamp(mean(statistics.aways) / 2, 0.5, kLongestHold);
+    if (statistics.absent_since_s > 0)
+      keep(statistics.absences_s, now_ - std::exchange(statistics.absent_since_s, 0.0), std::size_t{4});
+    statistics.ejection_s = statistics.absences_s.empty()
+                                ? kFirstHold
+                                : std::clamp(mean(statistics.absences_s) / 2, 0.5, kLongestHold);
   }
 
   const RequestClass& class_of(const RequestState& request) const {
@@ -346,8 +360,8 @@
       if (kind.idempotency == Idempotency::Unsafe) return false;
       if (kind.idempotency == Idempotency::Safe) continue;
       // What goes out on a new connection may be written as late as that comes up.
-      double latest = attempt.sent + kind.idempotency_window - deployment_.connect_timeout;
-      if (now_ > latest - 2 * deployment_.round) return false;
+      double latest = attempt.sent + kind.idempotency_window_s - deployment_.connect_timeout_s;
+      if (now_ > latest - 2 * deployment_.round_trip_s) return false;
       if (kind.group == Group::Zone && attempt.zone != endpoint.zone) return false;
       if (kind.group == Group::Cell && attempt.cell != endpoint.cell) return false;
     }
@@ -367,9 +381,9 @@
     // What two endpoints lost may be what breaks them, or what lies behind both: a third would be the next.
     auto ran = [](const Attempt& attempt) { return attempt.may_have_run; };
     if (std::count_if(request.attempts.begin(), request.attempts.end(), ran) > 1) return gave_up(request);
-    for (int i = 0; i < int(endpoints_.size()) && now_ < request.until - 2 * deployment_.round; ++i) {
-      bool usable = endpoints_[i].health == Health::Steady &&
-                    lane_health(endpoints_[i], request.class_index) == Health::Steady &&
+    for (int i = 0; i < int(endpoints_.size()) && now_ < request.until - 2 * deployment_.round_trip_s; ++i) {
+      bool usable = endpoints_[i].health == Health::Healthy &&
+                    lane_health(endpoints_[i], request.class_index) == Health::Healthy &&
                     (!tried(request, i) || may_go_back(request));
       if (usable && may_attempt(request, endpoints_[i])) return Input::Again;
     }
@@ -383,19 +397,20 @@
   double threshold(int class_index) const {
     const auto& samples = latencies_[class_index];
     // Too few answers make no percentile: until then half the latency objective stands in for it.
-    if (samples.size() < kFewLatencies) return deployment_.request_classes[class_index].latency_objective / 2;
+    if (samples.size() < kFewLatencies)
+      return deployment_.request_classes[class_index].latency_objective_s / 2;
     return thresholds_[class_index];
   }
   // The lowest mean of the last while: one that moves with a jam would let it in.
   double calm(int class_index) const {
     const auto& means = means_[class_index];
     if (!means.empty()) return *std::min_element(means.begin(), means.end());
-    return latencies_[class_index].empty() ? deployment_.request_classes[class_index].latency_objective / 4
+    return latencies_[class_index].empty() ? deployment_.request_classes[class_index].latency_objective_s / 4
                                            : mean(latencies_[class_index]);
   }
   // A request may be held for as long as a calm attempt would still end well within its latency objective.
   double patience(const RequestState& request) const {
-    double target = class_of(request).latency_objective;
+    double target = class_of(request).latency_objective_s;
     return std::max(kLeastPatience * target, kMostPatience * target - 2 * calm(request.class_index));
   }
   // The gate's and C's: old as reports are, first attempts that followed them would all meet.
@@ -403,11 +418,11 @@
     return std::max(double(endpoint.out.size()),
                     now_ - endpoint.load_at < kReportAge ? endpoint.load.depth : 0);
   }
-  static void note_answer(ClassStatistics& statistics, const Answer& answer) {
-    keep(statistics.answers, answer, kEndpointSamples), statistics.slow_until = 0;
+  static void note_answer(ClassStatistics& statistics, const ResponseSample& answer) {
+    keep(statistics.samples, answer, kEndpointSamples), statistics.slow_until = 0;
   }
   static void forget_answers(ClassStatistics& statistics) {
-    statistics.answers.clear(), statistics.slow_until = 0;
+    statistics.samples.clear(), statistics.slow_until = 0;
   }
   // Against calm: a usual that moves with a jam makes those in it look no worse than those left out of use.
   // Kept until an answer comes or one grows old: each choice asks it of every endpoint.
@@ -415,30 +430,31 @@
     if (now_ < endpoint.slow_until) return endpoint.slow;
     double sum = 3, count = 3;
     endpoint.slow_until = now_ + kSampleAge;
-    for (const Answer& answer : endpoint.answers) {
-      if (now_ - answer.at >= kSampleAge || answer.failed) continue;
-      sum += answer.stretch, count += 1;
-      endpoint.slow_until = std::min(endpoint.slow_until, answer.at + kSampleAge);
+    for (const ResponseSample& answer : endpoint.samples) {
+      if (now_ - answer.completed_at_s >= kSampleAge || answer.failed) continue;
+      sum += answer.latency_ratio, count += 1;
+      endpoint.slow_until = std::min(endpoint.slow_until, answer.completed_at_s + kSampleAge);
     }
     return endpoint.slow = sum / count;
   }
   double learned_capacity(const Endpoint& endpoint) const {
     double least = kFirstCapacity, most = 1e9;
-    for (const Answer& answer : endpoint.answers) {
+    for (const ResponseSample& answer : endpoint.samples) {
       if (answer.in_time) least = std::max(least, answer.depth + 1.0);
       int in_time = 0;
-      for (const Answer& other : endpoint.answers)
+      for (const ResponseSample& other : endpoint.samples)
         in_time += other.depth < answer.depth ? 0 : other.in_time ? 1 : -1;
       if (in_time < 0) most = std::min(most, double(answer.depth));
     }
     return std::min(least, most);
   }
   bool in_slow_start(const Endpoint& endpoint) const {
-    return endpoint.online_since > 0 && now_ < endpoint.online_since + deployment_.slow_start.warm_after;
+    return endpoint.online_since > 0 && now_ < endpoint.online_since + deployment_.slow_start.duration_s;
   }
   static bool open(const ClassStatistics& statistics) {
-    if (statistics.health == Health::Recovering) return int(statistics.out.size()) < statistics.allowance;
-    return statistics.health == Health::Steady;
+    if (statistics.health == Health::Recovering)
+      return int(statistics.out.size()) < statistics.recovery_limit;
+    return statistics.health == Health::Healthy;
   }
   bool open_to(const Endpoint& endpoint, int class_index) const {
     if (!open(endpoint) || (!endpoint.by_class.empty() && !open(endpoint.by_class[class_index])))
@@ -451,8 +467,8 @@
   // docs/crossings.md.
   void add_credit(Endpoint& endpoint, double grown) {
     const SlowStartRule& rule = deployment_.slow_start;
-    double each = grown / kTick * rule.window, all = rings();
-    double allowed = rule.multiple * each * all;
+    double each = grown / kTick * rule.overload_window_s, all = rings();
+    double allowed = rule.overload_multiple * each * all;
     allowed = kColdCare * (allowed + 2 * std::sqrt(allowed) + 2);
     double most = 1 + std::clamp(allowed / all - each, 0.0, kMostSaved);
     endpoint.slow_start_tokens += grown;
@@ -473,12 +489,12 @@
   }
   // With the whole list for many sidecars of few requests no endpoint is known to any. So a ring of the list,
   // shuffled alike at all, is cut evenly among as many sidecars as it gives parts; the next cut another ring.
-  int rings() const { return deployment_.sidecars / parts_; }
+  int rings() const { return deployment_.instance_count / parts_; }
   void shuffle() {
     // Cut anew only for a list that is clearly another: each new cut is a round of new connections for all.
-    int parts = placed_ ? 1 : std::max(1, std::min(listed(), deployment_.sidecars) / kLeastSubset);
+    int parts = placed_ ? 1 : std::max(1, std::min(listed(), deployment_.instance_count) / kLeastSubset);
     if (parts > parts_ * 1.25 || parts < parts_ * 0.75) parts_ = parts;
-    std::uint64_t cut = kMixer * std::uint64_t(deployment_.me % rings() + 1);
+    std::uint64_t cut = kMixer * std::uint64_t(deployment_.instance_index % rings() + 1);
     bool another = std::exchange(cut_, cut) != cut;
     if (another) begin_ring();
     if (!std::exchange(ring_stale_, false) && returned_.empty()) return;
@@ -487,7 +503,7 @@
     auto old = std::ptrdiff_t(ring_.size());
     for (int i : std::exchange(returned_, {})) {
       Endpoint& endpoint = endpoints_[i];
-      if (endpoint.health == Health::Gone || std::exchange(endpoint.on_ring, true)) continue;
+      if (endpoint.health == Health::Removed || std::exchange(endpoint.on_ring, true)) continue;
       endpoint.order = mixed(cut, endpoint.name);
       ring_.push_back(i);
     }
@@ -511,15 +527,16 @@
   }
   void cut_subset() {
     int turns = rings(), cuts = 1;
-    if (parts_ > 1) cuts = (deployment_.sidecars - deployment_.me % turns + turns - 1) / turns;
+    if (parts_ > 1)
+      cuts = (deployment_.instance_count - deployment_.instance_index % turns + turns - 1) / turns;
     for (int i : subset_) endpoints_[i].own_weight = 0;
     subset_.clear();
     if (ring_.empty()) return;
     double whole = starts_.back();
-    double from = whole * (deployment_.me / turns % cuts) / cuts, to = from + whole / cuts;
+    double from = whole * (deployment_.instance_index / turns % cuts) / cuts, to = from + whole / cuts;
     // As wide as it can know: enough requests a second for each endpoint to keep its samples young.
-    double known = deployment_.warm_keys ? 1 : recent_rate_ / kKnownRate / double(ring_.size() + 1);
-    if (deployment_.answers_report_load) to = from + whole * std::clamp(known, 1.0 / cuts, 1.0);
+    double known = deployment_.has_key_affinity ? 1 : recent_rate_ / kKnownRate / double(ring_.size() + 1);
+    if (deployment_.responses_report_load) to = from + whole * std::clamp(known, 1.0 / cuts, 1.0);
     // Its part begins at the first that ends past 'from'.
     auto first = std::upper_bound(starts_.begin() + 1, starts_.end(), from) - (starts_.begin() + 1);
     std::size_t n = std::min(std::size_t(first), ring_.size());
@@ -545,7 +562,7 @@
     double lowest = 0;
     for (int i : among) {
       const Endpoint& endpoint = endpoints_[i];
-      bool again = tried(request, i), reported = deployment_.answers_report_load;
+      bool again = tried(request, i), reported = deployment_.responses_report_load;
       if ((again && !may_go_back(request)) || !open_to(endpoint, request.class_index) ||
           !may_attempt(request, endpoint))
         continue;
@@ -553,7 +570,7 @@
       if (endpoint.health == Health::Recovering && class_of(request).idempotency == Idempotency::Unsafe)
         continue;
       // A crossing is priced: zones are crossed for shorter queues, not by chance.
-      double crossing = endpoint.zone == deployment_.zone ? 0 : kCrossing * deployment_.crossing_price;
+      double crossing = endpoint.zone == deployment_.zone ? 0 : kCrossing * deployment_.cross_zone_price;
       double weight = (endpoint.own_weight > 0 ? endpoint.own_weight : endpoint.units) / slowness(endpoint);
       // What the slow-start rule leaves is taken soon: saved up, it would be spent by all at once.
       if (in_slow_start(endpoint)) weight *= kDue;
@@ -582,27 +599,27 @@
     endpoint.out.insert({now_, key(request.id, number)});
     endpoint.by_class[request.class_index].out.insert({now_, key(request.id, number)});
     if (!std::exchange(request.counted, true)) {
-      request.weight = 1 / (kRoom * class_of(request).latency_objective);
+      request.weight = 1 / (kRoom * class_of(request).latency_objective_s);
       request.calm_weight = 1 / calm(request.class_index);
       count_load(request, 1);
     }
-    host_.attempt(request.id, endpoint.name, 0);
+    host_.start_attempt(request.id, endpoint.name, 0);
     if (class_of(request).idempotency == Idempotency::Safe && deployment_.parallel_attempts &&
         request.state == State::Out)
-      host_.wake(now_ + threshold(request.class_index), kLateToken | request.id);
+      host_.schedule_timer(now_ + threshold(request.class_index), kLateToken | request.id);
   }
   void consider_hedge(RequestState& request) {
     if (int(request.attempts.size()) >= deployment_.max_attempts || !request.attempts.back().out) return;
     // A wake of an earlier attempt of the same request is not this one's threshold.
     const Attempt& first = request.attempts.back();
     double due = threshold(request.class_index), waited = now_ - std::max(first.sent, awake_);
-    if (waited < due - deployment_.round) return;
+    if (waited < due - deployment_.round_trip_s) return;
     // A heavy request is late anywhere, and its hedge doubles the heaviest work on every tier behind: an
     // endpoint that answers what came later is believed, and one with nothing against it gets as long again.
     const Endpoint& at = endpoints_[first.endpoint];
-    if (slowness(at) < kSlowEndpoint && (at.last_answer > first.sent || waited < kUnsuspected * due)) {
+    if (slowness(at) < kSlowEndpoint && (at.last_response_s > first.sent || waited < kUnsuspected * due)) {
       ++counts_["weight"];
-      if (waited < 4 * due) host_.wake(now_ + due, kLateToken | request.id);
+      if (waited < 4 * due) host_.schedule_timer(now_ + due, kLateToken | request.id);
       return;
     }
     if (mean(late_) > kSharedLate && late_.size() >= kFewLatencies) return void(++counts_["shared lateness"]);
@@ -627,17 +644,17 @@
     return best / (double(std::clamp(rates_.size(), kLeastTicks, kRateTicks)) * kTick);
   }
   int count(Health health) const { return healths_[std::size_t(health)]; }
-  int listed() const { return count(Health::Steady) + count(Health::Ejected) + count(Health::Recovering); }
+  int listed() const { return count(Health::Healthy) + count(Health::Ejected) + count(Health::Recovering); }
   bool room(const RequestState& request) const {
     // The floor is shared: many sidecars' own small allowances would add up to a crowd on every endpoint.
     if (deployment_.tier > 0 || request.place.first == kFirstOfAll) return true;
     // What is told of all requests knows a crowd; the few requests of one sidecar only seem to.
-    if (deployment_.answers_report_load) return request.standing >= 1 - pass_;
+    if (deployment_.responses_report_load) return request.standing >= 1 - pass_;
     // Before any rate is known twice C's first value: with C itself the first seconds rejected a tenth.
     double each = now_ < started_ + kFirstSeconds ? 2 * kFirstCapacity : kFloor;
     // Rounded up to a request for each of many sidecars a room is too wide: where it ends, and with it the
     // first request of all where few come in time, is drawn by lot.
-    double floor = each * count(Health::Steady) / deployment_.sidecars;
+    double floor = each * count(Health::Healthy) / deployment_.instance_count;
     if (in_flight_ + request.lot < std::max(2 * services_[request.class_index].hope, floor)) return true;
     // What is slow by itself would fill the others' room: it has one of its own, as large as its hope.
     if (const Service* own = alone(request)) return own->load < own->hope * own->part * recent_rate_;
@@ -648,7 +665,7 @@
       load += sign * services_[i].load, calm_load += sign * services_[i].calm_load;
     }
     // Calm goes by the best rate of a long while: a recent one is lowered by the very limit that it sets.
-    load += request.lot / (kRoom * class_of(request).latency_objective);
+    load += request.lot / (kRoom * class_of(request).latency_objective_s);
     return load < recent_rate_ && calm_load + request.lot / calm(request.class_index) < kStretch * calm_rate_;
   }
   void pump() {
@@ -670,7 +687,8 @@
   // Who waits longest, and is shed first: those over their tenant's share, then by what service counts for
   // the work: credit, and for the request class that is served worst its own part as well.
   double rank(const RequestState& request) const {
-    return request.over_share ? 1 / (1 + class_of(request).credit) : -services_[request.class_index].earns;
+    return request.over_share ? 1 / (1 + class_of(request).priority_weight)
+                              : -services_[request.class_index].earns;
   }
   // Worked out each tick, as it is asked for several times a request.
   void weigh() {
@@ -687,7 +705,7 @@
                                 : std::count(tenants_.begin(), tenants_.end(), int(i - all.size()));
       each.part = double(its) / double(arrived_.size() + 1);
       if (i < all.size())
-        each.earns = each.hope * all[i].credit / (deployment_.credit_by_work ? 1 : calm(int(i)));
+        each.earns = each.hope * all[i].priority_weight / (deployment_.priority_by_work ? 1 : calm(int(i)));
     }
     // Late everywhere while others come in time: neither the endpoints' fault nor a crowd.
     for (std::size_t i = 0; i < services_.size(); ++i)
@@ -728,18 +746,19 @@
 
   // ---- health: what an outcome, or none, says of its endpoint
   void judge(Endpoint& endpoint, const RequestState& request, const Attempt& attempt, const AttemptEnd& end) {
-    Answer answer{now_, end.took / calm(request.class_index), attempt.depth,
-                  end.took <= threshold(request.class_index), false};
+    ResponseSample answer{now_, end.latency_s / calm(request.class_index), attempt.depth,
+                          end.latency_s <= threshold(request.class_index), false};
     double whole = now_ - request.attempts.front().sent;
     ClassStatistics& statistics = endpoint.by_class[request.class_index];
-    bool slept = attempt.sent < awake_, reported = deployment_.answers_report_load && !slept;
+    bool slept = attempt.sent < awake_, reported = deployment_.responses_report_load && !slept;
     if (reported && (end.outcome == Outcome::Delivered || end.outcome == Outcome::TimedOut))
-      keep(lags_, {now_, end.took / class_of(request).latency_objective}, kEndpointSamples);
+      keep(lags_, {now_, end.latency_s / class_of(request).latency_objective_s}, kEndpointSamples);
     switch (end.outcome) {
       case Outcome::Delivered:
-        endpoint.last_answer = statistics.last_answer = now_;
+        endpoint.last_response_s = statistics.last_response_s = now_;
         if (!slept) note_answer(endpoint, answer), note_answer(statistics, answer);
-        if (request.state != State::Done) note_served(request, whole <= class_of(request).latency_objective);
+        if (request.state != State::Done)
+          note_served(request, whole <= class_of(request).latency_objective_s);
         if (request.state != State::Done && !slept) {
           keep(late_, whole > threshold(request.class_index) ? 1.0 : 0.0, std::size_t{40});
           keep(latencies_[request.class_index], whole, kLatencies);
@@ -750,11 +769,11 @@
         ++answers_;
         for (ClassStatistics* each : {static_cast<ClassStatistics*>(&endpoint), &statistics}) {
           turn_health(*each, HealthEvent::Good);
-          if (each->allowance >= kRecoveryDone) turn_health(*each, HealthEvent::Restored);
+          if (each->recovery_limit >= kRecoveryDone) turn_health(*each, HealthEvent::Restored);
         }
         return;
       case Outcome::Failed:
-        endpoint.last_answer = statistics.last_answer = now_;
+        endpoint.last_response_s = statistics.last_response_s = now_;
         answer.failed = true;
         note_answer(endpoint, answer), note_answer(statistics, answer);
         // With nothing behind it an error is the endpoint's own, and may be this request class's alone.
@@ -768,8 +787,8 @@
   }
   bool fails_alone(const Endpoint& endpoint) const {
     // An error may come from behind the endpoint: then its neighbours show as many.
-    double failed = -failures(endpoint), all = -double(endpoint.answers.size());
-    for (int i : known_) failed += failures(endpoints_[i]), all += double(endpoints_[i].answers.size());
+    double failed = -failures(endpoint), all = -double(endpoint.samples.size());
+    for (int i : known_) failed += failures(endpoints_[i]), all += double(endpoints_[i].samples.size());
     return failures(endpoint) >= 3 && error_share(endpoint) > 0.2 + 2 * failed / std::max(1.0, all);
   }
   // As a whole, or for one request class. With most of them failing the trouble is shared or behind them, and
@@ -780,7 +799,7 @@
     };
     auto ejected = std::ranges::count_if(known_, [&](int i) {
       Endpoint& other = endpoints_[i];
-      return other.health != Health::Gone && statistics(other).health == Health::Ejected;
+      return other.health != Health::Removed && statistics(other).health == Health::Ejected;
     });
     ClassStatistics& failing = statistics(endpoint);
     double most =
@@ -792,7 +811,7 @@
     int overdue = 0;
     for (const auto& [sent, what] : statistics.out) {
       auto request = requests_.find(RequestId(what >> 8));
-      if (request == requests_.end() || sent <= statistics.last_answer) continue;
+      if (request == requests_.end() || sent <= statistics.last_response_s) continue;
       double late = (now_ - std::max(sent, awake_)) / threshold(request->second.class_index);
       if (late > 2) return true;
       overdue += late > 1;
@@ -814,7 +833,7 @@
     Endpoint& endpoint = endpoints_[found->second];
     endpoint.name = name;
     endpoint.place = found->second;
-    ++healths_[std::size_t(Health::Gone)];
+    ++healths_[std::size_t(Health::Removed)];
     gone_.insert(endpoint.place);
     return endpoint.place;
   }
@@ -822,14 +841,14 @@
   void free_places() {
     for (auto next = gone_.begin(); next != gone_.end();) {
       Endpoint& endpoint = endpoints_[*next];
-      bool gone = endpoint.health == Health::Gone, over = gone && endpoint.out.empty();
+      bool gone = endpoint.health == Health::Removed, over = gone && endpoint.out.empty();
       if (gone && std::exchange(endpoint.on_ring, false)) ring_stale_ = true;
       if (over) free_place(*next);
       next = over || !gone ? gone_.erase(next) : std::next(next);
     }
   }
   void free_place(int at) {
-    --healths_[std::size_t(Health::Gone)];
+    --healths_[std::size_t(Health::Removed)];
     index_.erase(endpoints_[at].name);
     known_.erase(at);
     returned_.erase(at);
@@ -844,17 +863,18 @@
   }
   void note_listed(const ListEntry& entry) {
     Endpoint& endpoint = endpoints_[place_of(entry.endpoint)];
-    if (entry.state == Listed::Gone) return note_missing(endpoint);
-    if (entry.state == Listed::Draining) return turn_all(endpoint, HealthEvent::Unlisted);
+    if (entry.state == ListedState::Removed) return note_missing(endpoint);
+    if (entry.state == ListedState::Draining) return turn_all(endpoint, HealthEvent::Unlisted);
     endpoint.missing = false;
     endpoint.zone = entry.zone, endpoint.cell = entry.cell;
-    if (std::exchange(endpoint.units, entry.units) != entry.units) ring_stale_ = true;
-    if (entry.online_since != endpoint.online_since) {
+    if (std::exchange(endpoint.units, entry.weight) != entry.weight) ring_stale_ = true;
+    if (entry.online_since_s != endpoint.online_since) {
       // Restarted: nothing learned holds. Rule 4: by their numbers sidecars' first attempts come in turn.
-      endpoint.online_since = entry.online_since;
+      endpoint.online_since = entry.online_since_s;
       forget_answers(endpoint);
       for (ClassStatistics& statistics : endpoint.by_class) forget_answers(statistics);
-      endpoint.slow_start_tokens = double(deployment_.me % deployment_.sidecars) / deployment_.sidecars;
+      endpoint.slow_start_tokens =
+          double(deployment_.instance_index % deployment_.instance_count) / deployment_.instance_count;
       turn_all(endpoint, HealthEvent::Unlisted);
     }
     turn_all(endpoint, HealthEvent::Listed);
@@ -869,7 +889,7 @@
     // The list service is one for all: without spread and back-off every sidecar would knock at once.
     asked_until_ = 0;
     ask_at_ = now_ + ask_back_off_ * (0.5 + chance());
-    ask_back_off_ = std::min(ask_back_off_ * 2, deployment_.ask_within);
+    ask_back_off_ = std::min(ask_back_off_ * 2, deployment_.list_poll_interval_s);
   }
 
   // How full the fleet is against how full it may be, as told: by its cores' use, or by Little's law from how
@@ -877,15 +897,16 @@
   void hear_crowd() {
     if (arrivals_.empty()) return;
     double served = 0, busy = 0, heard = 0;
-    if (!deployment_.answers_report_load)
+    if (!deployment_.responses_report_load)
       return void(fleet_rate_ = double(arrivals_.size()) / std::max(2.0, now_ - arrivals_.front()) *
-                                deployment_.sidecars);
+                                deployment_.instance_count);
     std::deque<double> stays;  // the median counts: one released from a hang shows all that it held
     for (int i : known_) {
       const Endpoint& endpoint = endpoints_[i];
       if (now_ - endpoint.load_at > kReportAge) continue;
-      served += endpoint.load.served, busy += endpoint.load.busy, ++heard;
-      if (endpoint.load.served > 0) stays.push_back(endpoint.load.depth / endpoint.load.served);
+      served += endpoint.load.requests_per_s, busy += endpoint.load.cpu_utilization, ++heard;
+      if (endpoint.load.requests_per_s > 0)
+        stays.push_back(endpoint.load.depth / endpoint.load.requests_per_s);
     }
     double use = busy / std::max(1.0, heard) / kFull, sum = 0, count = 0;
     if (!stays.empty()) {
@@ -896,7 +917,7 @@
         double own = mean(latencies_[i]), stay = percentile(stays, 0.5) * own / (sum / count);
         // Rates that have only begun to be counted tell of a jam that is none.
         if (now_ < started_ + kFirstSeconds) stay = std::min(stay, own);
-        use = std::max(use, stay / (kRoom * deployment_.request_classes[i].latency_objective));
+        use = std::max(use, stay / (kRoom * deployment_.request_classes[i].latency_objective_s));
       }
     }
     // Full cores can't tell of the queue behind them; own answers do.
@@ -910,13 +931,13 @@
     if (heard > 0) fleet_rate_ = served / heard * listed() / passed;
   }
   void tick() {
-    host_.wake(now_ + kTick, kTickToken);
+    host_.schedule_timer(now_ + kTick, kTickToken);
     hear_crowd();
     if (deployment_.tier == 0 && turns_ != std::exchange(weighed_, turns_)) weigh();  // else nothing is shed
     if (ask_at_ > 0 && now_ >= ask_at_) {
       ask_at_ = 0;
-      asked_until_ = now_ + deployment_.ask_within;
-      host_.follow_list(true);
+      asked_until_ = now_ + deployment_.list_poll_interval_s;
+      host_.poll_endpoint_list(true);
     }
     if (asked_until_ > 0 && now_ > asked_until_) ask_again_later();
     keep(rates_, std::exchange(answers_, 0.0), std::size_t(kCalmSeconds / kTick));
@@ -928,11 +949,11 @@
         if (latencies_[i].size() >= kFewLatencies) keep(means_[i], mean(latencies_[i]), kCalmSeconds);
     }
     // With hundreds of endpoints a look at each, every tick, was most of what a sidecar cost.
-    bool whole = ++ticks_ % kWholeTicks == 0 || deployment_.answers_report_load;
+    bool whole = ++ticks_ % kWholeTicks == 0 || deployment_.responses_report_load;
     if (whole || std::exchange(stale_, false)) cut_subset();
     double warm = 0;
     for (int i : subset_)
-      if (endpoints_[i].health == Health::Steady && !in_slow_start(endpoints_[i]))
+      if (endpoints_[i].health == Health::Healthy && !in_slow_start(endpoints_[i]))
         warm += endpoints_[i].own_weight;
     // A fresh one gets the slow-start share, growing evenly, of a warm one's; with none warm, an attempt a
     // second. What was inherited the process before may still be at.
@@ -949,13 +970,13 @@
     for (int at : looked_at) {
       Endpoint& endpoint = endpoints_[at];
       if (in_slow_start(endpoint)) {
-        double warmth = (now_ - endpoint.online_since) / deployment_.slow_start.warm_after;
-        double share =
-            deployment_.slow_start.share + (1 - deployment_.slow_start.share) * std::clamp(warmth, 0.0, 1.0);
+        double warmth = (now_ - endpoint.online_since) / deployment_.slow_start.duration_s;
+        double share = deployment_.slow_start.initial_share +
+                       (1 - deployment_.slow_start.initial_share) * std::clamp(warmth, 0.0, 1.0);
         add_credit(endpoint, pace * share * endpoint.own_weight);
       }
       if (endpoint.missing && endpoint.health == Health::Ejected) turn_all(endpoint, HealthEvent::Unlisted);
-      if (now_ >= endpoint.hold_until) turn_health(endpoint, HealthEvent::HoldOver);
+      if (now_ >= endpoint.ejected_until_s) turn_health(endpoint, HealthEvent::HoldOver);
       // Lost with its connection rather than late, it would fill the room until its client timeout.
       for (const auto& [sent, what] : endpoint.out) {
         RequestState& request = requests_.at(RequestId(what >> 8));
@@ -965,7 +986,7 @@
       if (silent(endpoint)) note_failing(endpoint);
       for (std::size_t k = 0; k < endpoint.by_class.size(); ++k) {
         ClassStatistics& statistics = endpoint.by_class[k];
-        if (now_ >= statistics.hold_until) turn_health(statistics, HealthEvent::HoldOver);
+        if (now_ >= statistics.ejected_until_s) turn_health(statistics, HealthEvent::HoldOver);
         if (deployment_.last_tier && !(late > kSharedLate) && silent(statistics))
           note_failing(endpoint, int(k));
       }
@@ -978,7 +999,7 @@
     }
     pump();
     // The source's diagnosis rests on both counts; one sidecar a tier is enough to see them.
-    if (now_ < report_at_ || deployment_.me != 0) return;
+    if (now_ < report_at_ || deployment_.instance_index != 0) return;
     report_at_ = now_ + 10;
     std::string line = "tier " + std::to_string(deployment_.tier);
     for (const auto& [what, count] : counts_) line.append(", ").append(what) += " " + std::to_string(count);
@@ -1020,7 +1041,7 @@
   std::map<std::string_view, std::uint64_t> counts_;  // of hedges sent, and of what kept one back
 };
 
-const std::array<Row<Module, State, Input, RequestState>, 13> Module::kRequestRows = {{
+const std::array<Transition<Module, State, Input, RequestState>, 13> Module::kRequestRows = {{
     {State::Held, Input::Room, State::Out, &Module::send_first},
     {State::Held, Input::Reject, State::Done, &Module::reject},
     {State::Held, Input::Fail, State::Done, &Module::fail},
@@ -1036,17 +1057,17 @@
     {State::Paired, Input::Over, State::Done, &Module::finish},
 }};
 
-const std::array<Row<Module, Health, HealthEvent, ClassStatistics>, 10> Module::kHealthRows = {{
-    {Health::Gone, HealthEvent::Listed, Health::Steady, &Module::restore},
-    {Health::Steady, HealthEvent::Failing, Health::Ejected, &Module::eject},
-    {Health::Steady, HealthEvent::Unlisted, Health::Gone, &Module::nothing},
+const std::array<Transition<Module, Health, HealthEvent, ClassStatistics>, 10> Module::kHealthRows = {{
+    {Health::Removed, HealthEvent::Listed, Health::Healthy, &Module::restore},
+    {Health::Healthy, HealthEvent::Failing, Health::Ejected, &Module::eject},
+    {Health::Healthy, HealthEvent::Unlisted, Health::Removed, &Module::nothing},
     {Health::Ejected, HealthEvent::HoldOver, Health::Recovering, &Module::begin_recovery},
     {Health::Ejected, HealthEvent::Good, Health::Recovering, &Module::begin_recovery},
-    {Health::Ejected, HealthEvent::Unlisted, Health::Gone, &Module::nothing},
+    {Health::Ejected, HealthEvent::Unlisted, Health::Removed, &Module::nothing},
     {Health::Recovering, HealthEvent::Good, Health::Recovering, &Module::widen_recovery},
-    {Health::Recovering, HealthEvent::Restored, Health::Steady, &Module::restore},
+    {Health::Recovering, HealthEvent::Restored, Health::Healthy, &Module::restore},
     {Health::Recovering, HealthEvent::Failing, Health::Ejected, &Module::eject},
-    {Health::Recovering, HealthEvent::Unlisted, Health::Gone, &Module::nothing},
+    {Health::Recovering, HealthEvent::Unlisted, Health::Removed, &Module::nothing},
 }};
 
 }  // namespace
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -44,7 +44,7 @@
         Row{"tagged", Outcome::Refused, true, false}, Row{"tagged", Outcome::Broken, false, false},
         Row{"tagged-all", Outcome::Failed, true, false}, Row{"tagged-cell", Outcome::Broken, false, false}}) {
     FakeHost host(deployment());
-    host.list({{"near", "here", 1, Listed::Ready, 1, 0}, {"far", "there", 2, Listed::Ready, 1, 0}});
+    host.list({{"near", "here", 1, ListedState::Ready, 1, 0}, {"far", "there", 2, ListedState::Ready, 1, 0}});
     RequestId request = host.request(row.request_class);
     host.run(0.1);
     host.end(host.sent.at(0), row.outcome);
@@ -58,10 +58,10 @@
 
 void a_keyed_request_that_may_have_run_stays_in_its_group_and_memory() {
   FakeHost host(deployment());
-  host.list({{"a", "here", 1, Listed::Ready, 1, 0},
-             {"b", "here", 1, Listed::Ready, 1, 0},
-             {"c", "there", 2, Listed::Ready, 1, 0},
-             {"d", "there", 2, Listed::Ready, 1, 0}});
+  host.list({{"a", "here", 1, ListedState::Ready, 1, 0},
+             {"b", "here", 1, ListedState::Ready, 1, 0},
+             {"c", "there", 2, ListedState::Ready, 1, 0},
+             {"d", "there", 2, ListedState::Ready, 1, 0}});
   std::map<std::string, char> zone = {{"a", 'h'}, {"b", 'h'}, {"c", 't'}, {"d", 't'}};
   for (int i = 0; i < 20; ++i) {
     RequestId request = host.request("tagged");
@@ -81,14 +81,14 @@
 // than two in a group there was none to go on to, though the one that had run the request drops its repeat.
 void a_keyed_request_goes_back_to_the_only_endpoint_of_its_group() {
   FakeHost host(deployment());
-  host.list({{"near", "here", 1, Listed::Ready, 1, 0}, {"far", "there", 2, Listed::Ready, 1, 0}});
+  host.list({{"near", "here", 1, ListedState::Ready, 1, 0}, {"far", "there", 2, ListedState::Ready, 1, 0}});
   RequestId request = host.request("tagged");
   host.run(0.1);
   host.end(host.sent.at(0), Outcome::Failed);
   assert(host.attempts(request) == 2 && host.sent[1].endpoint == host.sent[0].endpoint);
   host.end(host.sent.at(1), Outcome::Refused);
   assert(host.attempts(request) == 3);  // that it was turned away there proves nothing of the first attempt
-  host.list({{"a", "here", 1, Listed::Ready, 1, 0}, {"b", "here", 1, Listed::Ready, 1, 0}});
+  host.list({{"a", "here", 1, ListedState::Ready, 1, 0}, {"b", "here", 1, ListedState::Ready, 1, 0}});
   for (int i = 0; i < 4; ++i) {  // with another in the group it goes there
     host.request("tagged");
     Sent first = host.sent.back();
@@ -103,17 +103,17 @@
 // A new id at the place of one that is gone: what a request did there must not be taken for the new one's.
 void an_endpoint_in_the_place_of_one_that_is_gone_is_another() {
   FakeHost host(deployment());
-  host.list({{"old", "here", 1, Listed::Ready, 1, 0}});
+  host.list({{"old", "here", 1, ListedState::Ready, 1, 0}});
   RequestId request = host.request("tagged");
-  host.list({{"old", "here", 1, Listed::Gone, 1, 0}}, ListScope::Changes);
-  host.list({{"new", "there", 2, Listed::Ready, 1, 0}}, ListScope::Changes);
+  host.list({{"old", "here", 1, ListedState::Removed, 1, 0}}, ListScope::Changes);
+  host.list({{"new", "there", 2, ListedState::Ready, 1, 0}}, ListScope::Changes);
   host.end(host.sent.at(0), Outcome::Failed);
-  host.list({{"newer", "there", 2, Listed::Ready, 1, 0}}, ListScope::Changes);  // in the place of old
+  host.list({{"newer", "there", 2, ListedState::Ready, 1, 0}}, ListScope::Changes);  // in the place of old
   assert(host.attempts(request) == 1 && host.failed == std::vector<RequestId>{request});
-  host.list({{"one", "here", 1, Listed::Ready, 1, 0}});
+  host.list({{"one", "here", 1, ListedState::Ready, 1, 0}});
   for (int i = 0; i < 20; ++i)
     host.request("read"), host.run(0.1), host.end(host.sent.back(), Outcome::Failed);
-  host.list({{"two", "here", 1, Listed::Ready, 1, 0}, {"three", "here", 1, Listed::Ready, 1, 0}});
+  host.list({{"two", "here", 1, ListedState::Ready, 1, 0}, {"three", "here", 1, ListedState::Ready, 1, 0}});
   std::size_t before = host.sent.size();
   for (int i = 0; i < 40; ++i)
     host.request("read"), host.run(0.01), host.end(host.sent.back(), Outcome::Delivered);
@@ -127,8 +127,8 @@
   int born = 1;
   auto turn_over = [&](int times) {
     for (int i = 0; i < times; ++i, ++born) {
-      host.list({{"x" + std::to_string(born), "here", 1, Listed::Ready, 1, 0},
-                 {"x" + std::to_string(born - 1), "here", 1, Listed::Gone, 1, 0}},
+      host.list({{"x" + std::to_string(born), "here", 1, ListedState::Ready, 1, 0},
+                 {"x" + std::to_string(born - 1), "here", 1, ListedState::Removed, 1, 0}},
                 ListScope::Changes);
     }
     return mallinfo2().uordblks;
@@ -145,7 +145,7 @@
 constexpr int kMostDealt = 16;  // endpoints of the subset of one such sidecar
 Deployment one_of(const Fleet& fleet) {
   Deployment made = deployment();
-  made.sidecars = fleet.sidecars, made.me = fleet.sidecars / 2;
+  made.instance_count = fleet.sidecars, made.instance_index = fleet.sidecars / 2;
   return made;
 }
 std::size_t memory_in_use() { return mallinfo2().uordblks + mallinfo2().hblkhd; }
@@ -174,8 +174,8 @@
   constexpr std::size_t kMostBytes = 4096, kChanges = 100;
   std::size_t before = allocated;
   for (std::size_t i = 0; i < kChanges; ++i) {
-    host.list({{"b" + std::to_string(i), "here", 1, Listed::Ready, 1, host.now}}, ListScope::Changes);
-    host.list({{"a" + std::to_string(i), "here", 1, Listed::Gone, 1, 0}}, ListScope::Changes);
+    host.list({{"b" + std::to_string(i), "here", 1, ListedState::Ready, 1, host.now}}, ListScope::Changes);
+    host.list({{"a" + std::to_string(i), "here", 1, ListedState::Removed, 1, 0}}, ListScope::Changes);
   }
   assert(allocated - before < 2 * kChanges * kMostBytes);
 }
@@ -189,7 +189,7 @@
   for (const Sent& one : host.sent) subset.insert(one.endpoint);
   for (int i = 0; i < 40; ++i) {
     for (const std::string& name : subset)
-      host.list({{name, "here", 1, Listed::Ready, 1, host.now}}, ListScope::Changes);
+      host.list({{name, "here", 1, ListedState::Ready, 1, host.now}}, ListScope::Changes);
     host.calm(2, 0.02);
   }
   assert(host.endpoints_with_statistics() > kMostDealt + 4);
@@ -253,7 +253,7 @@
   double since = host.now;
   host.calm(20, 0.01);
   assert(host.sent_to("a1", since) == 0);
-  host.ready(2), host.list({{"a1", "here", 1, Listed::Draining, 1, 0}}, ListScope::Changes);
+  host.ready(2), host.list({{"a1", "here", 1, ListedState::Draining, 1, 0}}, ListScope::Changes);
   since = host.now, host.calm(20, 0.01);
   assert(host.sent_to("a1", since) == 0);
 }
@@ -261,7 +261,7 @@
 void with_all_endpoints_leaving_a_request_is_rejected_at_once() {
   FakeHost host(deployment());
   host.ready(2);
-  host.list({{"a0", "here", 1, Listed::Draining, 1, 0}, {"a1", "here", 1, Listed::Draining, 1, 0}});
+  host.list({{"a0", "here", 1, ListedState::Draining, 1, 0}, {"a1", "here", 1, ListedState::Draining, 1, 0}});
   RequestId late = host.request();
   assert(host.sent.empty() && host.rejected == std::vector<RequestId>{late});
 }
@@ -269,11 +269,11 @@
 void nothing_goes_to_an_endpoint_that_drains_or_is_missing() {
   FakeHost host(deployment());
   host.ready(3);
-  host.list({{"a0", "here", 1, Listed::Draining, 1, 0}}, ListScope::Changes);
+  host.list({{"a0", "here", 1, ListedState::Draining, 1, 0}}, ListScope::Changes);
   double reporting_load = host.now;
   host.calm(30, 0.01);
   assert(host.sent_to("a0", reporting_load) == 0 && host.sent_to("a1", reporting_load) > 0);
-  host.list({{"a1", "here", 1, Listed::Ready, 1, 0}});
+  host.list({{"a1", "here", 1, ListedState::Ready, 1, 0}});
   reporting_load = host.now;
   host.calm(30, 0.01);
   assert(host.sent_to("a2", reporting_load) == 0 && host.sent_to("a1", reporting_load) == 30);
@@ -283,12 +283,12 @@
   std::set<double> firsts;
   for (int me = 0; me < 4; ++me) {
     Deployment made = deployment();
-    made.list_on_request = true;
-    made.me = me;
-    made.sidecars = 4;
+    made.polls_endpoint_list = true;
+    made.instance_index = me;
+    made.instance_count = 4;
     FakeHost host(made, 40 + unsigned(me));
     host.ready(2);
-    host.list({{"a0", "here", 1, Listed::Ready, 1, 0}, {"a1", "here", 1, Listed::Ready, 1, 0}},
+    host.list({{"a0", "here", 1, ListedState::Ready, 1, 0}, {"a1", "here", 1, ListedState::Ready, 1, 0}},
               ListScope::Cached);
     std::vector<double> gaps;
     host.run(5);
@@ -301,7 +301,7 @@
       while (host.asked.size() == before) host.run(0.1);
       gaps.push_back(host.asked.back() - failed);
     }
-    assert(gaps.back() > 3 * gaps.front() && gaps.back() <= made.ask_within * 1.6);
+    assert(gaps.back() > 3 * gaps.front() && gaps.back() <= made.list_poll_interval_s * 1.6);
     RequestId request = host.request();
     assert(host.attempts(request) == 1);
   }
@@ -314,12 +314,12 @@
   int in_first_second = 0, fresh = 0, warm = 0;
   for (int me = 0; me < kSidecars; ++me) {
     Deployment made = deployment();
-    made.me = me;
-    made.sidecars = kSidecars;
+    made.instance_index = me;
+    made.instance_count = kSidecars;
     FakeHost host(made, unsigned(me));
     host.ready(4);
     host.calm(200, 0.02);
-    host.list({{"a0", "here", 1, Listed::Ready, 1, host.now}}, ListScope::Changes);
+    host.list({{"a0", "here", 1, ListedState::Ready, 1, host.now}}, ListScope::Changes);
     double reporting_load = host.now;
     host.calm(50, 0.02);
     in_first_second += host.sent_to("a0", reporting_load);
@@ -393,12 +393,13 @@
   Process process(int me, double at) {
     Deployment made = deployment();
     made.slow_start = {play_.share, play_.warm_after, kMultiple, kWindow};
-    made.sidecars = play_.befalls == Befalls::StaleNumbers ? std::max(1, play_.sidecars / 2) : play_.sidecars;
-    made.me = me % made.sidecars;
+    made.instance_count =
+        play_.befalls == Befalls::StaleNumbers ? std::max(1, play_.sidecars / 2) : play_.sidecars;
+    made.instance_index = me % made.instance_count;
     Process one{std::make_unique<FakeHost>(made, seed_ * 1000 + unsigned(me), at), 0, me};
     std::vector<ListEntry> list;
     for (int i = 0; i < play_.endpoints; ++i)
-      list.push_back({"a" + std::to_string(i), "here", 1, Listed::Ready, 1, i == 0 ? notified_ : 0});
+      list.push_back({"a" + std::to_string(i), "here", 1, ListedState::Ready, 1, i == 0 ? notified_ : 0});
     one.host->list(list);
     return one;
   }
@@ -406,7 +407,7 @@
     pass(kWarmUp, 0.9, true);
     notified_ = now();
     for (Process& each : processes_)
-      each.host->list({{"a0", "here", 1, Listed::Ready, 1, notified_}}, ListScope::Changes);
+      each.host->list({{"a0", "here", 1, ListedState::Ready, 1, notified_}}, ListScope::Changes);
   }
   double now() const { return processes_[0].host->now; }
   unsigned draw() { return turn_ = turn_ * 1664525 + 1013904223; }
@@ -521,7 +522,7 @@
 void a_keyed_request_is_not_sent_again_where_its_connection_may_outlast_the_window() {
   for (bool in_time : {true, false}) {
     Deployment made = deployment();
-    made.connect_timeout = 0.3;  // of a window of a second
+    made.connect_timeout_s = 0.3;  // of a window of a second
     FakeHost host(made);
     host.ready(4);
     host.request("tagged");
@@ -533,10 +534,10 @@
 
 void a_sidecar_that_has_just_started_holds_to_the_slow_start_budget() {
   Deployment made = deployment();
-  made.sidecars = 2;
+  made.instance_count = 2;
   FakeHost host(made);
   host.list(
-      {{"warm", "here", 1, Listed::Ready, 1, 0}, {"cold", "here", 1, Listed::Ready, 1, host.now - 0.5}});
+      {{"warm", "here", 1, ListedState::Ready, 1, 0}, {"cold", "here", 1, ListedState::Ready, 1, host.now - 0.5}});
   host.calm(50, 0.02);
   assert(host.sent_to("cold") < 0.45 * host.sent_to("warm"));
 }
@@ -560,14 +561,14 @@
 // With nothing out anywhere all are as deep: the largest would get all of many sidecars' requests.
 void idle_endpoints_are_drawn_by_size() {
   FakeHost host(reporting_load());
-  host.list({{"small", "here", 1, Listed::Ready, 1, 0}, {"large", "here", 1, Listed::Ready, 3, 0}});
+  host.list({{"small", "here", 1, ListedState::Ready, 1, 0}, {"large", "here", 1, ListedState::Ready, 3, 0}});
   host.calm(400, 0.02);
   assert(host.sent_to("small") > 60 && host.sent_to("large") > 240);
 }
 
 void heavy_requests_go_the_more_to_the_large() {
   FakeHost host(reporting_load());
-  host.list({{"small", "here", 1, Listed::Ready, 1, 0}, {"large", "here", 1, Listed::Ready, 3, 0}});
+  host.list({{"small", "here", 1, ListedState::Ready, 1, 0}, {"large", "here", 1, ListedState::Ready, 3, 0}});
   for (int i = 0; i < 100; ++i)
     host.request("read", 4, "", "", 1), host.run(0.02), host.end(host.sent.back(), Outcome::Delivered);
   assert(host.sent_to("small") < 8);
@@ -575,7 +576,7 @@
 
 void a_key_goes_to_the_endpoint_that_met_it_at_every_sidecar_and_not_when_it_is_busy() {
   Deployment made = reporting_load();
-  made.warm_keys = true;
+  made.has_key_affinity = true;
   std::set<std::string> met, keys_met;
   for (std::uint64_t seed : {3, 4}) {
     FakeHost host(made, seed);
@@ -621,7 +622,7 @@
 // Full cores: low credit and over share are turned away, at once and with advice, and high credit goes on.
 void in_a_crowd_that_is_told_low_credit_is_rejected_at_once_and_high_credit_goes() {
   Deployment made = reporting_load();
-  made.credit_by_work = true;
+  made.priority_by_work = true;
   FakeHost host(made);
   host.ready(2);
   std::map<std::string, std::size_t> rejected;
@@ -861,7 +862,7 @@
 // deep.
 void a_sidecar_that_has_just_started_lets_out_twice_its_first_capacity() {
   Deployment two = deployment();
-  two.sidecars = 2;
+  two.instance_count = 2;
   FakeHost host(two);
   host.ready(4);
   for (int i = 0; i < 16; ++i) host.request();
@@ -873,7 +874,7 @@
 void an_over_share_tenant_waits_behind_and_high_credit_goes_first() {
   Deployment made = deployment();
   made.tenants = {{"small", 0}, {"large", 1000}};
-  made.credit_by_work = true;
+  made.priority_by_work = true;
   FakeHost host(made);
   host.ready(1);
   host.calm(100, 0.05);
@@ -1000,7 +1001,7 @@
 // Incident i0a25af: small endpoints got as much as large ones and choked.
 void a_small_endpoint_gets_less_than_a_large_one() {
   FakeHost host(deployment());
-  host.list({{"large", "here", 1, Listed::Ready, 3, 0}, {"small", "here", 1, Listed::Ready, 1, 0}});
+  host.list({{"large", "here", 1, ListedState::Ready, 3, 0}, {"small", "here", 1, ListedState::Ready, 1, 0}});
   for (int i = 0; i < 8; ++i) host.request();
   assert(host.sent_to("small") >= 1 && host.sent_to("large") > 2 * host.sent_to("small"));
 }
@@ -1013,8 +1014,8 @@
   int kept = 0, met_before = 0;
   for (int me = 0; me < kSidecars; ++me) {
     Deployment made = deployment();
-    made.me = me;
-    made.sidecars = kSidecars;
+    made.instance_index = me;
+    made.instance_count = kSidecars;
     FakeHost host(made, unsigned(me));
     auto met = [&] {
       std::set<std::string> names;
@@ -1027,7 +1028,7 @@
     std::set<std::string> before = met();
     assert(before.size() >= 3 && before.size() <= 6);
     for (const std::string& name : before) ++users[name];
-    host.list({{"a7", "here", 1, Listed::Gone, 1, 0}}, ListScope::Changes);
+    host.list({{"a7", "here", 1, ListedState::Removed, 1, 0}}, ListScope::Changes);
     for (const std::string& name : met()) kept += int(before.count(name));
     met_before += int(before.size());
   }
@@ -1038,7 +1039,7 @@
 
 void a_subset_reaches_further_for_what_is_ejected() {
   Deployment made = deployment();
-  made.sidecars = 48;
+  made.instance_count = 48;
   FakeHost host(made);
   host.ready(32);
   host.calm(100, 0.02);
@@ -1068,10 +1069,10 @@
 // Incident i88de38: crossings by chance cost more than they brought.
 void priced_crossings_are_made_for_shorter_queues_only() {
   Deployment made = deployment();
-  made.crossing_price = 0.02;
+  made.cross_zone_price = 0.02;
   made.zone = "here";
   FakeHost host(made);
-  host.list({{"near", "here", 1, Listed::Ready, 1, 0}, {"far", "there", 2, Listed::Ready, 1, 0}});
+  host.list({{"near", "here", 1, ListedState::Ready, 1, 0}, {"far", "there", 2, ListedState::Ready, 1, 0}});
   host.request(), host.request();
   assert(host.sent[0].endpoint == "near" && host.sent[1].endpoint == "far");
 }
@@ -1079,7 +1080,7 @@
 void a_fleet_that_is_in_slow_start_as_a_whole_is_still_sent_to() {
   FakeHost host(deployment());
   host.list(
-      {{"a0", "here", 1, Listed::Ready, 1, host.now - 1}, {"a1", "here", 1, Listed::Ready, 1, host.now - 1}});
+      {{"a0", "here", 1, ListedState::Ready, 1, host.now - 1}, {"a1", "here", 1, ListedState::Ready, 1, host.now - 1}});
   for (int i = 0; i < 30; ++i) host.request(), host.run(0.1);
   assert(host.sent.size() >= 2 && host.sent.size() < 10);
 }
--- a/src/policy/quiet_test.cpp
+++ b/src/policy/quiet_test.cpp
@@ -15,7 +15,7 @@
 
 Deployment quick() {
   Deployment made = deployment();
-  for (RequestClass& request_class : made.request_classes) request_class.latency_objective = 0.5;
+  for (RequestClass& request_class : made.request_classes) request_class.latency_objective_s = 0.5;
   return made;
 }
 
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -98,10 +98,10 @@
 };
 
 inline double failures(const ClassStatistics& statistics) {
-  return double(std::ranges::count_if(statistics.answers, &Answer::failed));
+  return double(std::ranges::count_if(statistics.samples, &ResponseSample::failed));
 }
 inline double error_share(const ClassStatistics& statistics) {
-  return failures(statistics) / std::max(1.0, double(statistics.answers.size()));
+  return failures(statistics) / std::max(1.0, double(statistics.samples.size()));
 }
 inline bool tried(const RequestState& request, int endpoint) {
   return std::ranges::any_of(request.attempts,
--- a/src/proxy/downstream_connection.cpp
+++ b/src/proxy/downstream_connection.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t kMostAhead = 16 * BufferPool::kSize;
 }  // namespace
 
-const Row<DownstreamConnection, DownstreamConnection::State, DownstreamConnection::Input>
+const Transition<DownstreamConnection, DownstreamConnection::State, DownstreamConnection::Input>
     DownstreamConnection::kRows[] = {
         {State::Reading, Input::Begun, State::Uploading, &DownstreamConnection::begin},
         {State::Uploading, Input::Request, State::Waiting, &DownstreamConnection::hand_over_rest},
@@ -72,7 +72,7 @@
   tcp_.adopt(std::move(socket));
 }
 
-void DownstreamConnection::turn(Input input) { step(kRows, *this, state_, input); }
+void DownstreamConnection::turn(Input input) { apply_transition(kRows, *this, state_, input); }
 
 void DownstreamConnection::look(double now) {
   if (state_ == State::Reading || state_ == State::Uploading) {
--- a/src/proxy/downstream_connection.h
+++ b/src/proxy/downstream_connection.h
@@ -93,7 +93,7 @@
   static constexpr std::size_t kMostBehind = 64 * 1024;
   enum class State { Reading, Uploading, Waiting, Relaying, Answering, Parting, Lingering, Over };
   enum class Input { Begun, Request, Fault, Late, Relay, Answer, LastAnswer, Written, Cut, Drop, Ended };
-  static const Row<DownstreamConnection, State, Input> kRows[];
+  static const Transition<DownstreamConnection, State, Input> kRows[];
   void turn(Input input);
   bool between() const { return state_ == State::Reading && !reader_.started() && unread_.empty(); }
   void nothing() {}
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -50,7 +50,7 @@
 
 void RequestForwarder::leave(double gone) {
   gone_ = gone;
-  policy_->leave(loop_.now(), gone);
+  policy_->on_shutdown(loop_.now(), gone);
 }
 
 void RequestForwarder::retire(const std::vector<RequestForwarder*>& successors) {
@@ -81,7 +81,7 @@
   // Alarms of requests go on until their client timeouts: with none of those to come nobody asks for it.
   double longest = 0;
   for (const RequestClass& request_class : deployment_.request_classes)
-    longest = std::max(longest, request_class.client_timeout);
+    longest = std::max(longest, request_class.client_timeout_s);
   return retired_ && requests_.count() == 0 &&
          loop_.now() > std::max(*retired_, last_request_ + longest) + kAfterLast;
 }
@@ -93,7 +93,7 @@
 
 // ---- what the module asks for
 
-void RequestForwarder::attempt(RequestId id, std::string_view endpoint, double abandon_at) {
+void RequestForwarder::start_attempt(RequestId id, std::string_view endpoint, double abandon_at) {
   PendingRequest& request = *requests_.find(id);
   int number = int(request.attempts.size());
   double now = loop_.now(), ends = abandon_at > 0 ? std::min(abandon_at, request.until) : request.until;
@@ -141,7 +141,7 @@
   used = fresh.get();
   busy_[used] = std::move(fresh);
   used->carry(attempt, head);
-  loop_.at(loop_.now() + kHelpAfter * deployment_.connect_timeout,
+  loop_.at(loop_.now() + kHelpAfter * deployment_.connect_timeout_s,
            alive_.guard([this, attempt] { help(attempt); }));
   return {};
 }
@@ -150,7 +150,7 @@
   auto fresh =
       std::make_unique<UpstreamConnection>(loop_, *this, endpoint, options_.most_body, options_.streams);
   const std::string* address = addresses_.find(endpoint);
-  bool begun = address && fresh->connect(*address, deployment_.connect_timeout);
+  bool begun = address && fresh->connect(*address, deployment_.connect_timeout_s);
   return begun ? std::move(fresh) : nullptr;
 }
 
@@ -221,7 +221,7 @@
   ended(id, number, Outcome::NotSent, nullptr);
 }
 
-void RequestForwarder::cancel(RequestId id, int number) {
+void RequestForwarder::cancel_attempt(RequestId id, int number) {
   PendingRequest* request = requests_.find(id);
   if (!request || number >= int(request->attempts.size())) return;
   UpstreamConnection* upstream = request->attempts[std::size_t(number)].upstream;
@@ -230,12 +230,12 @@
   end_soon(id, number, Outcome::Cancelled);
 }
 
-void RequestForwarder::reject(RequestId id, double wait) {
+void RequestForwarder::reject_request(RequestId id, double wait) {
   std::string advice = wait > 0 ? "Retry-After: " + write_wait(wait) + "\r\n" : "";
   conclude(id, 503, nullptr, advice, "bounced: trying again does no harm\n");
 }
 
-void RequestForwarder::fail(RequestId id) {
+void RequestForwarder::fail_request(RequestId id) {
   PendingRequest* request = requests_.find(id);
   // Better what the endpoint itself said than that it said something.
   if (request && request->failed) {
@@ -245,9 +245,9 @@
   conclude(id, 502, nullptr, "", "errored: it may or may not have run\n");
 }
 
-void RequestForwarder::wake(double at, std::uint64_t token) {
+void RequestForwarder::schedule_timer(double at, std::uint64_t token) {
   if (retired_ && requests_.count() == 0) return;  // there is nothing left to be woken for
-  loop_.at(at, alive_.guard([this, token] { policy_->woken(loop_.now(), token); }));
+  loop_.at(at, alive_.guard([this, token] { policy_->on_timer(loop_.now(), token); }));
 }
 
 void RequestForwarder::conclude(RequestId id, int status, const HttpMessage* from,
@@ -339,7 +339,7 @@
   PendingRequest* request = requests_.find(id);
   if (!request || request->concluded()) return;
   conclude(id, 502, nullptr, "", "errored: it may or may not have run\n");
-  policy_->withdrawn(loop_.now(), id);
+  policy_->on_request_cancelled(loop_.now(), id);
 }
 
 void RequestForwarder::on_begun(UpstreamConnection& upstream, HttpMessage answer,
@@ -360,7 +360,7 @@
   loop_.at(request.until, alive_.guard([this, id] { look_at_relay(id); }));
   request.downstream->begin_answer(answer, size);
   on_more(upstream, std::move(answer.body));
-  policy_->attempt_ended(now, {id, number, Outcome::Delivered, true, now - attempt.sent, load});
+  policy_->on_attempt_ended(now, {id, number, Outcome::Delivered, true, now - attempt.sent, load});
 }
 
 // It was passed on as it is, or may be, a long one, which has time beyond the request's. If it is short by
@@ -467,8 +467,8 @@
   if (options_.any_status && outcome == Outcome::Failed && answer && answer->status > 0 &&
       !request->concluded())
     request->failed = std::move(*answer);
-  policy_->attempt_ended(now, {id, number, outcome, request->concluded(),
-                               now - request->attempts[std::size_t(number)].sent, load});
+  policy_->on_attempt_ended(now, {id, number, outcome, request->concluded(),
+                                  now - request->attempts[std::size_t(number)].sent, load});
   requests_.forget_if_over(id);
 }
 
@@ -482,7 +482,7 @@
     loop_.bury(no_longer_busy(*relay));
     return requests_.forget_if_over(id);
   }
-  policy_->withdrawn(loop_.now(), id);
+  policy_->on_request_cancelled(loop_.now(), id);
   requests_.forget_if_over(id);
 }
 
@@ -514,7 +514,7 @@
   }
   RequestId id = requests_.add(std::move(taken));
   downstream.request = {this, id};
-  policy_->arrive(now, {id, request_class.name, tenant, time_left, facts.key, facts.work});
+  policy_->on_request(now, {id, request_class.name, tenant, time_left, facts.key, facts.work});
 }
 
 // ---- endpoints and their list
@@ -567,13 +567,13 @@
 // that.
 double RequestForwarder::latest_start(const ListEntry& entry) const {
   auto known = listed_.find(entry.endpoint);
-  return known == listed_.end() ? entry.online_since
-                                : std::max(entry.online_since, known->second.online_since);
+  return known == listed_.end() ? entry.online_since_s
+                                : std::max(entry.online_since_s, known->second.online_since_s);
 }
 
 bool RequestForwarder::same_as_known(const ListEntry& entry, const std::string& address) const {
   auto known = listed_.find(entry.endpoint);
-  if (known == listed_.end()) return entry.state == Listed::Gone;
+  if (known == listed_.end()) return entry.state == ListedState::Removed;
   return known->second == entry && (address.empty() || known->second.address == address);
 }
 
@@ -584,7 +584,7 @@
   changes.index = list.index;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry entry = list.entries[i];
-    entry.online_since = latest_start(entry);
+    entry.online_since_s = latest_start(entry);
     if (same_as_known(entry, list.addresses[i])) continue;
     changes.entries.push_back(std::move(entry));
     changes.addresses.push_back(list.addresses[i]);
@@ -600,7 +600,7 @@
   for (const auto& [name, notified] : listed_) {
     if (there.contains(name)) continue;
     changes.entries.push_back(notified);
-    changes.entries.back().state = Listed::Gone;
+    changes.entries.back().state = ListedState::Removed;
     changes.addresses.emplace_back();
   }
 }
@@ -617,9 +617,10 @@
 
 std::size_t RequestForwarder::avoided() const {
   auto going = [this](const auto& one) {
-    return one.second.state != Listed::Ready || out_.contains(one.first);
+    return one.second.state != ListedState::Ready || out_.contains(one.first);
   };
-  return policy_->avoided() + std::size_t(std::count_if(listed_.begin(), listed_.end(), going));
+  return policy_->avoided_endpoint_count() +
+         std::size_t(std::count_if(listed_.begin(), listed_.end(), going));
 }
 
 bool RequestForwarder::knows(std::string_view endpoint) const {
@@ -640,34 +641,34 @@
   // It was taken out to be restarted. Where the list has not heard of that yet it is taken for fresh all the
   // same, from now: rule 4 costs a warm endpoint some seconds of little work, a fresh one everything.
   ListEntry& entry = found->second;
-  if (entry.online_since < out_since) entry.online_since = loop_.now();
+  if (entry.online_since_s < out_since) entry.online_since_s = loop_.now();
   notify(entry);
 }
 
 ListEntry RequestForwarder::as_notified(ListEntry entry) const {
-  if (out_.contains(entry.endpoint) && entry.state == Listed::Ready) entry.state = Listed::Draining;
+  if (out_.contains(entry.endpoint) && entry.state == ListedState::Ready) entry.state = ListedState::Draining;
   if (parts_.empty()) return entry;
   // One that is others' is not shut: it is what there is when all of its own are out.
   auto part = parts_.find(entry.endpoint);
-  entry.units = part == parts_.end() ? kOthers : std::max(kOthers, part->second);
+  entry.weight = part == parts_.end() ? kOthers : std::max(kOthers, part->second);
   return entry;
 }
 
 void RequestForwarder::share(std::map<std::string, double, std::less<>> parts, int place, int sidecars) {
   parts_ = std::move(parts);
-  policy_->place(place, sidecars);
+  policy_->on_instance_position(place, sidecars);
   std::vector<ListEntry> notified;
   for (const auto& [name, entry] : listed_) notified.push_back(as_notified(entry));
-  policy_->list(loop_.now(), ListScope::Changes, notified);
+  policy_->on_endpoint_list(loop_.now(), ListScope::Changes, notified);
 }
 
 void RequestForwarder::notify(const ListEntry& entry) {
   ListEntry notified = as_notified(entry);
-  policy_->list(loop_.now(), ListScope::Changes, {&notified, 1});
+  policy_->on_endpoint_list(loop_.now(), ListScope::Changes, {&notified, 1});
 }
 
 void RequestForwarder::note_listed(const ListEntry& entry, const std::string& address) {
-  if (entry.state == Listed::Gone) return note_gone(entry.endpoint);
+  if (entry.state == ListedState::Removed) return note_gone(entry.endpoint);
   auto& notified = listed_[entry.endpoint];
   static_cast<ListEntry&>(notified) = entry;
   if (!address.empty()) notified.address = address;
@@ -677,11 +678,11 @@
 // one can listen there: who is ready, and of those who started last. The list comes again and again, and must
 // not pass it to and fro.
 void RequestForwarder::note_address(const ListedEndpoint& notified) {
-  if (notified.state != Listed::Ready || notified.address.empty()) return;
+  if (notified.state != ListedState::Ready || notified.address.empty()) return;
   if (const std::string* has = addresses_.owner(notified.address); has && *has != notified.endpoint) {
     auto owner = listed_.find(*has);
-    bool ready = owner != listed_.end() && owner->second.state == Listed::Ready;
-    if (ready && owner->second.online_since > notified.online_since) return;
+    bool ready = owner != listed_.end() && owner->second.state == ListedState::Ready;
+    if (ready && owner->second.online_since_s > notified.online_since_s) return;
   }
   for (const std::string& stale : addresses_.note(notified.endpoint, notified.address)) {
     drop_connections(stale);
@@ -714,8 +715,8 @@
     const ListEntry& entry = list.entries[i];
     listed.insert(entry.endpoint);
     note_listed(entry, list.addresses[i]);
-    if (entry.state != Listed::Ready) drop_connections(entry.endpoint);
-    if (entry.state == Listed::Gone) addresses_.forget(entry.endpoint);
+    if (entry.state != ListedState::Ready) drop_connections(entry.endpoint);
+    if (entry.state == ListedState::Removed) addresses_.forget(entry.endpoint);
     else place(listed_.at(entry.endpoint));
   }
   if (list.whole) {  // what a whole list leaves out is gone without a word
@@ -725,13 +726,13 @@
   place_the_unplaced();
   std::vector<ListEntry> notified = list.entries;
   for (ListEntry& entry : notified) entry = as_notified(std::move(entry));
-  policy_->list(loop_.now(), scope, notified);
+  policy_->on_endpoint_list(loop_.now(), scope, notified);
 }
 
 void RequestForwarder::sweep() {
   double now = loop_.now();
   while (std::unique_ptr<UpstreamConnection> old =
-             idle_.take_oldest(now - kIdleShare * deployment_.idle_time))
+             idle_.take_oldest(now - kIdleShare * deployment_.idle_timeout_s))
     old->give_up(), loop_.bury(std::move(old));
   loop_.at(now + kSweep, alive_.guard([this] { sweep(); }));
 }
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -53,8 +53,10 @@
   void retire(const std::vector<RequestForwarder*>& successors);
   bool spent() const;
   // What an earlier one's module has learned, and that share of its rates.
-  void inherit(const Learned& earlier, double share) { policy_->inherit(loop_.now(), earlier, share); }
-  Learned learned() const { return policy_->learned(); }
+  void inherit(const LearnedState& earlier, double share) {
+    policy_->import_learned_state(loop_.now(), earlier, share);
+  }
+  LearnedState learned() const { return policy_->export_learned_state(); }
   const Deployment& deployment() const { return deployment_; }
   const RequestClass* find_class(std::string_view name) const;
   std::size_t number_of(const RequestClass& request_class) const {
@@ -87,15 +89,15 @@
   void on_list(const EndpointList& notified) override;
 
  private:
-  void attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
-  void cancel(RequestId request, int number) override;
-  void reject(RequestId request, double wait) override;
-  void fail(RequestId request) override;
-  void wake(double at, std::uint64_t token) override;
+  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
+  void cancel_attempt(RequestId request, int number) override;
+  void reject_request(RequestId request, double wait) override;
+  void fail_request(RequestId request) override;
+  void schedule_timer(double at, std::uint64_t token) override;
   bool client_left(RequestId request);
   double time_to_tell(const PendingRequest& request, const PendingAttempt& attempt) const;
   void not_sent(RequestId request, int number);
-  void follow_list(bool) override {}  // the watch always stands
+  void poll_endpoint_list(bool) override {}  // the watch always stands
   void log(std::string_view text) override;
 
   void on_client_left(RequestId request) override;
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -22,7 +22,7 @@
 
 // An answer may come before the request is written whole: it counts, but what is left of the request can't
 // be taken back, so that connection carries nothing more.
-const Row<UpstreamConnection, UpstreamConnection::State, UpstreamConnection::Input>
+const Transition<UpstreamConnection, UpstreamConnection::State, UpstreamConnection::Input>
     UpstreamConnection::kRows[] = {
         {State::Connecting, Input::Connected, State::Sending, &UpstreamConnection::write},
         {State::Connecting, Input::ConnectedLate, State::Over, &UpstreamConnection::report_not_sent},
@@ -64,7 +64,7 @@
       tcp_(loop, *this),
       reader_(HttpReader::Side::Answer, loop.pool(), most_body, streams ? HttpReader::kMostStreamed : 0) {}
 
-void UpstreamConnection::turn(Input input) { step(kRows, *this, state_, input); }
+void UpstreamConnection::turn(Input input) { apply_transition(kRows, *this, state_, input); }
 
 bool UpstreamConnection::connect(std::string_view address, double timeout) {
   TcpConnection::ConnectStart started = tcp_.connect(address);
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -88,7 +88,7 @@
     Freed,
     Expired
   };
-  static const Row<UpstreamConnection, State, Input> kRows[];
+  static const Transition<UpstreamConnection, State, Input> kRows[];
   void turn(Input input);
   void write();
   void note_sent() { owner_->on_sent(); }
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -197,8 +197,9 @@
   assert(write_wait(0.25) == "0.250" && write_time_left(-1) == "0u");
   assert(read_load("inflight=7,queue=2,util=0.61").depth == 7 && read_load("util=1,queue=2").depth == 2);
   Load load = read_load("qps=41.5,util=0.8,inflight=3");
-  assert(load.served == 41.5 && load.busy == 0.8 && load.depth == 3 && read_load("util=7").busy == 1);
-  assert(read_load("qps=-1,util=nan").served < 0 && read_load("qps=-1,util=nan").busy < 0);
+  assert(load.requests_per_s == 41.5 && load.cpu_utilization == 0.8 && load.depth == 3 &&
+         read_load("util=7").cpu_utilization == 1);
+  assert(read_load("qps=-1,util=nan").requests_per_s < 0 && read_load("qps=-1,util=nan").cpu_utilization < 0);
   RequestFacts facts = read_facts("size=3,key=track-7,hint=0.12");
   assert(facts.key == "track-7" && facts.work == 0.12 && read_facts("hint=-2,=,key").work == 0);
   assert(read_load("queue=2,inflight=7").depth == 7 && read_load("nonsense,=,queue=x").depth < 0);
@@ -230,9 +231,9 @@
         {"name":"s-3","status":"left","new":{"field":1}}]})");
   assert(list.index == 43 && !list.whole && list.entries.size() == 3 &&
          list.addresses[1] == "10.1.0.19:5000");
-  assert(list.entries[0].state == Listed::Draining && list.since_ms[0] == 5000 && list.entries[0].cell == 3);
-  assert(list.entries[1].state == Listed::Ready && list.entries[1].units == 1 && list.since_ms[1] == 0);
-  assert(list.entries[2].state == Listed::Gone && list.addresses[2].empty() && list.since_ms[2] == 0);
+  assert(list.entries[0].state == ListedState::Draining && list.since_ms[0] == 5000 && list.entries[0].cell == 3);
+  assert(list.entries[1].state == ListedState::Ready && list.entries[1].weight == 1 && list.since_ms[1] == 0);
+  assert(list.entries[2].state == ListedState::Removed && list.addresses[2].empty() && list.since_ms[2] == 0);
 }
 
 template <typename Act>
@@ -260,9 +261,10 @@
   std::string rest = R"("name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2")";
   Assignment good = assign("{" + rest + R"(,"seed":"8c1f30d27a5be964","limits":{"sockets":64},"settings":)" +
                            settings + "}");
-  assert(good.seed == 0x8c1f30d27a5be964 && good.descriptors == 64 && good.deployment.idle_time == 10);
-  assert(good.deployment.connect_timeout == 0.12 && good.deployment.request_classes[0].client_timeout == 2.5);
-  assert(!good.deployment.list_on_request);
+  assert(good.seed == 0x8c1f30d27a5be964 && good.descriptors == 64 && good.deployment.idle_timeout_s == 10);
+  assert(good.deployment.connect_timeout_s == 0.12 &&
+         good.deployment.request_classes[0].client_timeout_s == 2.5);
+  assert(!good.deployment.polls_endpoint_list);
   for (std::string bad :
        {std::string("[]"), "{" + rest + "}", "{" + rest + R"(,"seed":"xyz","settings":)" + settings + "}",
         "{" + rest + R"(,"seed":"1","settings":{}})", "{" + rest + R"(,"seed":"1"})"})
@@ -433,13 +435,15 @@
     return read_deployment(parser.parse(text));
   };
   Deployment plain = read("");
-  assert(!plain.answers_report_load && !plain.last_tier && !plain.warm_keys && plain.crossing_price == 0);
+  assert(!plain.responses_report_load && !plain.last_tier && !plain.has_key_affinity &&
+         plain.cross_zone_price == 0);
   Deployment moved = read(R"(,"Report":{"Via":"piggyback"},"Tiers":["a","b"],"Layer":1,
                              "Extra":{"WarmKeys":true},"Fees":{"CrossZone":0.03})");
-  assert(moved.answers_report_load && moved.last_tier && moved.warm_keys && moved.crossing_price == 0.03);
+  assert(moved.responses_report_load && moved.last_tier && moved.has_key_affinity &&
+         moved.cross_zone_price == 0.03);
   // A depth told without what is served says nothing of how full the fleet is.
-  assert(read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","served_ps"]})").answers_report_load);
-  assert(!read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","cpu_share"]})").answers_report_load);
+  assert(read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","served_ps"]})").responses_report_load);
+  assert(!read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","cpu_share"]})").responses_report_load);
   assert(!plain.only_draining_binds);
   for (const char* bad :
        {R"(,"Report":{"Via":"shout"})", R"(,"Report":{"Via":null})", R"(,"Report":{"Via":3})",
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -16,7 +16,7 @@
 constexpr double kLook = 0.01;
 }  // namespace
 
-const Row<Lifecycle, Lifecycle::Phase, Lifecycle::Event> Lifecycle::kRows[] = {
+const Transition<Lifecycle, Lifecycle::Phase, Lifecycle::Event> Lifecycle::kRows[] = {
     {Phase::Starting, Event::Opened, Phase::Serving, &Lifecycle::serve},
     // The listener may be another's yet for some seconds, and a reload that came then was lost.
     {Phase::Starting, Event::Reload, Phase::Starting, &Lifecycle::read_anew},
@@ -38,7 +38,7 @@
     {Phase::Finishing, Event::Overdue, Phase::Stopped, &Lifecycle::quit},
 };
 
-void Lifecycle::turn(Event event) { step(kRows, *this, phase_, event); }
+void Lifecycle::turn(Event event) { apply_transition(kRows, *this, phase_, event); }
 void Lifecycle::opened() { turn(Event::Opened); }
 void Lifecycle::reload() { turn(Event::Reload); }
 void Lifecycle::terminate() { turn(has_successor() ? Event::Succeeded : Event::Terminate); }
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -50,7 +50,7 @@
  private:
   enum class Phase { Starting, Serving, Leaving, Staying, Finishing, HandingOver, Stopped };
   enum class Event { Opened, Reload, Terminate, Succeeded, ListenTime, LastCall, Emptied, Overdue };
-  static const Row<Lifecycle, Phase, Event> kRows[];
+  static const Transition<Lifecycle, Phase, Event> kRows[];
   void turn(Event event);
   void serve() { serves(); }
   void read_anew() { reads_anew(); }
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -27,7 +27,7 @@
   list.whole = true;
   for (const site::Endpoint& one : pool.endpoints) {
     std::string identity = site::identity_of(one);
-    list.entries.push_back({identity, one.zone, one.cell, Listed::Ready, one.size, since.at(identity)});
+    list.entries.push_back({identity, one.zone, one.cell, ListedState::Ready, one.size, since.at(identity)});
     list.addresses.push_back(one.address);
   }
   return list;
@@ -38,7 +38,7 @@
   if (list.whole) listed.clear();
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     const ListEntry& entry = list.entries[i];
-    if (entry.state == Listed::Gone) listed.erase(entry.endpoint);
+    if (entry.state == ListedState::Removed) listed.erase(entry.endpoint);
     else listed.insert_or_assign(entry.endpoint, std::pair(entry, list.addresses[i]));
   }
   forwarder->on_list(list);
@@ -278,8 +278,8 @@
   Patience patience;
   patience.killed_after = killed_after_;
   for (const RequestClass& request_class : router_.site().request_classes) {
-    patience.longest = std::max(patience.longest, request_class.client_timeout);
-    patience.target = std::max(patience.target, request_class.latency_objective);
+    patience.longest = std::max(patience.longest, request_class.client_timeout_s);
+    patience.target = std::max(patience.target, request_class.latency_objective_s);
   }
   return patience;
 }
@@ -358,7 +358,7 @@
   std::string_view id = request.header(kRequestIdHeader);
   if (id.empty() || ids > 1 || forwarder.open(id))
     return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be new, if it is there\n", true);
-  std::optional<double> time_left = time_left_of(request, request_class.client_timeout);
+  std::optional<double> time_left = time_left_of(request, request_class.client_timeout_s);
   if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
   if (decision.target) request.target = *decision.target;
   forwarder.take(downstream, std::move(request), request_class, *time_left);
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -120,8 +120,8 @@
 Lifecycle::Patience Sidecar::patience() const {
   Patience patience;
   for (const RequestClass& request_class : assignment_.deployment.request_classes) {
-    patience.longest = std::max(patience.longest, request_class.client_timeout);
-    patience.target = std::max(patience.target, request_class.latency_objective);
+    patience.longest = std::max(patience.longest, request_class.client_timeout_s);
+    patience.target = std::max(patience.target, request_class.latency_objective_s);
   }
   return patience;
 }
@@ -195,7 +195,7 @@
   members_changed_ = false, shared_list_ = list.index;
   std::vector<fleet::Sharer> endpoints;
   for (const ListEntry& entry : list.entries) {
-    if (entry.state == Listed::Ready) endpoints.push_back({entry.endpoint, entry.units});
+    if (entry.state == ListedState::Ready) endpoints.push_back({entry.endpoint, entry.weight});
   }
   part_ = fleet_->part(endpoints);
   if (part_ && !part_->endpoints.empty()) forwarder_.share(part_->endpoints, part_->place, part_->sidecars);
@@ -219,7 +219,7 @@
   const RequestClass* request_class = forwarder_.find_class(request_class_of(request.target));
   if (!request_class) return downstream.answer(404, nullptr, "", "no such path prefix\n", true);
   std::string_view id = request.header(kRequestIdHeader);
-  std::optional<double> time_left = time_left_of(request, request_class->client_timeout);
+  std::optional<double> time_left = time_left_of(request, request_class->client_timeout_s);
   bool named = !id.empty() && request.count(kRequestIdHeader) == 1 && !forwarder_.open(id);
   if (!named || !time_left) forwarder_.turned_away(*request_class);
   if (!named)
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -58,8 +58,8 @@
   EndpointList listing() const override;
   OperatorOverrides overrides() const override { return {operations_.all_out(), operations_.drains_since()}; }
   void on_overrides(const OperatorOverrides& overrides) override;
-  Learned learned() const override { return forwarder_.learned(); }
-  void on_learned(const Learned& part) override { forwarder_.inherit(part, 1); }
+  LearnedState learned() const override { return forwarder_.learned(); }
+  void on_learned(const LearnedState& part) override { forwarder_.inherit(part, 1); }
   void on_connection(Ref<GSocket> socket, bool asked) override {
     downstream_.take_over(std::move(socket), asked);
   }
--- a/src/server/start.cpp
+++ b/src/server/start.cpp
@@ -67,8 +67,8 @@
   read.deployment = read_deployment(settings);
   // On sockets discovery is always watched: the module has nothing to ask for.
   read.asking =
-      read.deployment.list_on_request ? DiscoveryWatch::Asking::Priced : DiscoveryWatch::Asking::Free;
-  read.deployment.list_on_request = false;
+      read.deployment.polls_endpoint_list ? DiscoveryWatch::Asking::Priced : DiscoveryWatch::Asking::Free;
+  read.deployment.polls_endpoint_list = false;
   element shadow;
   if (!config["watch"].get(shadow)) {
     if (!shadow.is_object()) throw Malformed("'watch' is no object of settings");
@@ -77,7 +77,7 @@
     } catch (const Malformed& fault) {
       throw Malformed(std::string("'watch': ") + fault.what());
     }
-    read.shadow->list_on_request = false;
+    read.shadow->polls_endpoint_list = false;
     const auto& request_classes = read.deployment.request_classes;
     auto same = [](const RequestClass& one, const RequestClass& other) { return one.name == other.name; };
     if (!std::equal(request_classes.begin(), request_classes.end(), read.shadow->request_classes.begin(),
--- a/testing/helpers.h
+++ b/testing/helpers.h
@@ -24,15 +24,19 @@
   explicit FakeHost(Deployment deployment, std::uint64_t seed = 7, double at = 100)
       : now(at), policy_(make_policy(now, std::move(deployment), seed, *this)) {}
 
-  void attempt(RequestId request, std::string_view endpoint, double) override {
+  void start_attempt(RequestId request, std::string_view endpoint, double) override {
     assert(!ended(request));
     sent.push_back({request, std::string(endpoint), attempts_[request]++, now});
   }
-  void cancel(RequestId request, int number) override { cancelled.emplace_back(request, number); }
-  void reject(RequestId request, double) override { assert(!ended(request)), rejected.push_back(request); }
-  void fail(RequestId request) override { assert(!ended(request)), failed.push_back(request); }
-  void wake(double at, std::uint64_t token) override { wakes_.emplace(std::max(at, now + 0.001), token); }
-  void follow_list(bool) override { asked.push_back(now); }
+  void cancel_attempt(RequestId request, int number) override { cancelled.emplace_back(request, number); }
+  void reject_request(RequestId request, double) override {
+    assert(!ended(request)), rejected.push_back(request);
+  }
+  void fail_request(RequestId request) override { assert(!ended(request)), failed.push_back(request); }
+  void schedule_timer(double at, std::uint64_t token) override {
+    wakes_.emplace(std::max(at, now + 0.001), token);
+  }
+  void poll_endpoint_list(bool) override { asked.push_back(now); }
   void log(std::string_view text) override { logged.emplace_back(text); }
 
   void run(double seconds) {
@@ -41,7 +45,7 @@
       auto [at, token] = *wakes_.begin();
       wakes_.erase(wakes_.begin());
       now = at;
-      policy_->woken(now, token);
+      policy_->on_timer(now, token);
     }
     now = until;
   }
@@ -53,30 +57,30 @@
     wakes_ = std::move(due);
   }
   void list(std::vector<ListEntry> entries, ListScope scope = ListScope::Full) {
-    policy_->list(now, scope, entries);
+    policy_->on_endpoint_list(now, scope, entries);
   }
   void ready(int count, const std::string& name = "a") {
     std::vector<ListEntry> entries;
     for (int i = 0; i < count; ++i)
-      entries.push_back({name + std::to_string(i), "here", 1, Listed::Ready, 1, 0});
+      entries.push_back({name + std::to_string(i), "here", 1, ListedState::Ready, 1, 0});
     list(entries);
   }
   RequestId request(const char* request_class = "read", double time_left = 4, const char* tenant = "",
                     const char* key = "", double work = 0) {
     works_[++last_] = work;
-    policy_->arrive(now, {last_, request_class, tenant, time_left, key, work});
+    policy_->on_request(now, {last_, request_class, tenant, time_left, key, work});
     return last_;
   }
   void end(const Sent& attempt, Outcome outcome, Load load = {}) {
     bool over = ended(attempt.request) || outcome == Outcome::Delivered;
     if (outcome == Outcome::Delivered && !ended(attempt.request)) delivered.push_back(attempt.request);
-    policy_->attempt_ended(now, {attempt.request, attempt.number, outcome, over, now - attempt.at, load});
+    policy_->on_attempt_ended(now, {attempt.request, attempt.number, outcome, over, now - attempt.at, load});
   }
   void inherit(const FakeHost& earlier, double share) {
-    policy_->inherit(now, earlier.policy_->learned(), share);
+    policy_->import_learned_state(now, earlier.policy_->export_learned_state(), share);
   }
-  std::size_t endpoints_with_statistics() const { return policy_->learned().endpoints.size(); }
-  void withdraw(RequestId request) { policy_->withdrawn(now, request); }
+  std::size_t endpoints_with_statistics() const { return policy_->export_learned_state().endpoints.size(); }
+  void withdraw(RequestId request) { policy_->on_request_cancelled(now, request); }
   // A stretch of calm: requests that come one after another and are answered after 'took'.
   void calm(int count, double took, const char* request_class = "read") {
     for (int i = 0; i < count; ++i) {
@@ -117,7 +121,7 @@
 // One where answers tell load, and nothing lies behind the endpoints.
 inline Deployment reporting_load() {
   Deployment made = deployment();
-  made.answers_report_load = made.last_tier = true;
+  made.responses_report_load = made.last_tier = true;
   return made;
 }
 
@@ -130,9 +134,9 @@
                           {"mutating", Idempotency::Unsafe, Group::All, 0, 1, 8}};
   made.slow_start = {0.2, 10};
   made.max_attempts = 4;
-  made.parallel_attempts = made.may_cancel = made.advises_wait = true;
-  made.longest_wait_advice = 2;
-  made.round = 0.005;
+  made.parallel_attempts = made.may_cancel = made.sends_retry_after = true;
+  made.max_retry_after_s = 2;
+  made.round_trip_s = 0.005;
   return made;
 }
 
--- a/tools/load_test/baselines/baselines.cpp
+++ b/tools/load_test/baselines/baselines.cpp
@@ -80,33 +80,33 @@
   BaselinePolicy(Deployment deployment, std::unique_ptr<Choice> choice, Host& host)
       : deployment_(std::move(deployment)), choice_(std::move(choice)), host_(host) {}
 
-  void list(double, ListScope scope, std::span<const ListEntry> entries) override {
+  void on_endpoint_list(double, ListScope scope, std::span<const ListEntry> entries) override {
     Endpoints fresh = scope == ListScope::Changes ? endpoints_ : Endpoints();
     for (const ListEntry& entry : entries) {
       std::erase_if(fresh, [&](const Endpoint& one) { return one.name == entry.endpoint; });
-      if (entry.state != Listed::Ready) continue;
+      if (entry.state != ListedState::Ready) continue;
       const Endpoint* known = find(entry.endpoint);
       fresh.push_back({entry.endpoint, known ? known->out : 0});
     }
     endpoints_ = std::move(fresh);
   }
-  void arrive(double now, const Request& request) override {
+  void on_request(double now, const Request& request) override {
     const RequestClass* request_class = nullptr;
     for (const RequestClass& one : deployment_.request_classes) {
       if (one.name == request.request_class) request_class = &one;
     }
     in_hand_[request.id] = {request_class, {}, false, 0, false};
-    host_.wake(now + std::max(0.0, request.time_left - kInTime), request.id);
+    host_.schedule_timer(now + std::max(0.0, request.remaining_time_s - kInTime), request.id);
     attempt(now, request.id);
   }
-  void attempt_ended(double now, const AttemptEnd& end) override {
+  void on_attempt_ended(double now, const AttemptEnd& end) override {
     auto found = in_hand_.find(end.request);
     if (found == in_hand_.end()) return;
     InHand& request = found->second;
-    const std::string& endpoint = request.endpoints[std::size_t(end.number)];
+    const std::string& endpoint = request.endpoints[std::size_t(end.attempt_number)];
     if (Endpoint* one = find(endpoint)) --one->out;
     --request.out;
-    if (end.concluded || request.over) return forget(found);
+    if (end.request_concluded || request.over) return forget(found);
     bool never = end.outcome == Outcome::Refused || end.outcome == Outcome::ConnectFailed ||
                  end.outcome == Outcome::NotSent;
     request.may_have_run |= !never;
@@ -114,14 +114,14 @@
     if (again && int(request.endpoints.size()) < deployment_.max_attempts) return attempt(now, end.request);
     give_up(end.request);
   }
-  void withdrawn(double, RequestId id) override {
+  void on_request_cancelled(double, RequestId id) override {
     auto found = in_hand_.find(id);
     if (found == in_hand_.end()) return;
     found->second.over = true;
-    for (std::size_t i = 0; i < found->second.endpoints.size(); ++i) host_.cancel(id, int(i));
+    for (std::size_t i = 0; i < found->second.endpoints.size(); ++i) host_.cancel_attempt(id, int(i));
     forget(in_hand_.find(id));
   }
-  void woken(double, std::uint64_t token) override {
+  void on_timer(double, std::uint64_t token) override {
     auto found = in_hand_.find(RequestId(token));
     if (found != in_hand_.end() && !found->second.over) give_up(RequestId(token));
   }
@@ -152,15 +152,15 @@
     Endpoint& endpoint = endpoints_[choice_->among(endpoints_, open)];
     ++endpoint.out, ++request.out;
     request.endpoints.push_back(endpoint.name);
-    host_.attempt(id, endpoint.name, 0);
+    host_.start_attempt(id, endpoint.name, 0);
   }
   void give_up(RequestId id) {
     InHand& request = in_hand_[id];
     request.over = true;
     // One that is out may run yet: only what is known not to have run is rejected.
-    if (request.out == 0 && !request.may_have_run) host_.reject(id, 0.2);
-    else host_.fail(id);
-    for (std::size_t i = 0; i < request.endpoints.size(); ++i) host_.cancel(id, int(i));
+    if (request.out == 0 && !request.may_have_run) host_.reject_request(id, 0.2);
+    else host_.fail_request(id);
+    for (std::size_t i = 0; i < request.endpoints.size(); ++i) host_.cancel_attempt(id, int(i));
     forget(in_hand_.find(id));
   }
   void forget(std::unordered_map<RequestId, InHand>::iterator found) {
--- a/tools/simulator_adapter/codec.cpp
+++ b/tools/simulator_adapter/codec.cpp
@@ -31,8 +31,8 @@
   for (std::string_view field : {"busy_reqs", "pending"}) {
     if (load.depth < 0 && report[field].get(load.depth)) load.depth = -1;
   }
-  if (report["served_ps"].get(load.served)) load.served = -1;
-  if (report["cpu_share"].get(load.busy)) load.busy = -1;
+  if (report["served_ps"].get(load.requests_per_s)) load.requests_per_s = -1;
+  if (report["cpu_share"].get(load.cpu_utilization)) load.cpu_utilization = -1;
   return load;
 }
 
@@ -94,9 +94,9 @@
     entry.endpoint = endpoint;
     if (!values[1].get(zone)) entry.zone = zone;
     if (values[3].get(entry.cell)) entry.cell = 0;
-    entry.state = state == 1 ? Listed::Ready : state == 2 ? Listed::Draining : Listed::Gone;
-    if (values.size() < 6 || values[5].get(entry.units) || entry.units <= 0) entry.units = 1;
-    if (values.size() < 7 || values[6].get(entry.online_since)) entry.online_since = 0;
+    entry.state = state == 1 ? ListedState::Ready : state == 2 ? ListedState::Draining : ListedState::Removed;
+    if (values.size() < 6 || values[5].get(entry.weight) || entry.weight <= 0) entry.weight = 1;
+    if (values.size() < 7 || values[6].get(entry.online_since_s)) entry.online_since_s = 0;
     list.push_back(std::move(entry));
   }
   return list;
--- a/tools/simulator_adapter/main.cpp
+++ b/tools/simulator_adapter/main.cpp
@@ -22,16 +22,20 @@
   }
   Policy& policy() { return *policy_; }
 
-  void attempt(RequestId request, std::string_view endpoint, double abandon_at) override {
+  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override {
     open("CALL_OUT"), add(request), add(endpoint), add(abandon_at), close();
   }
-  void cancel(RequestId request, int number) override {
+  void cancel_attempt(RequestId request, int number) override {
     open("REVOKE"), add(request), add(static_cast<std::uint32_t>(number)), close();
   }
-  void reject(RequestId request, double wait) override { open("DENY"), add(request), add(wait), close(); }
-  void fail(RequestId request) override { open("ERROR"), add(request), close(); }
-  void wake(double at, std::uint64_t token) override { open("REMIND"), add(at), add(token), close(); }
-  void follow_list(bool want) override { open("LISTEN"), out_ += want ? ",true" : ",false", close(); }
+  void reject_request(RequestId request, double wait) override {
+    open("DENY"), add(request), add(wait), close();
+  }
+  void fail_request(RequestId request) override { open("ERROR"), add(request), close(); }
+  void schedule_timer(double at, std::uint64_t token) override {
+    open("REMIND"), add(at), add(token), close();
+  }
+  void poll_endpoint_list(bool want) override { open("LISTEN"), out_ += want ? ",true" : ",false", close(); }
   void log(std::string_view text) override { open("EMIT"), add(text), close(); }
   void fault(std::string_view text) { open("BUG"), add(text), close(); }
 
@@ -91,7 +95,7 @@
     if (name == "ORDER") {
       Request request{request_id(event),          event.text(3, "Profile"), event.text_or_none(4),
                       event.number(6, "BudgetS"), event.text_or_none(5),    event.number_or_none(7)};
-      pass(event, [&](Policy& policy) { policy.arrive(now_, request); });
+      pass(event, [&](Policy& policy) { policy.on_request(now_, request); });
     } else if (name == "ATTEMPT_END") {
       AttemptEnd end{request_id(event),
                      static_cast<int>(event.whole(5, "N")),
@@ -100,13 +104,13 @@
                      event.number(4, "CostTimeS"),
                      event.load(8)};
       event.text(7, "Endpoint");
-      pass(event, [&](Policy& policy) { policy.attempt_ended(now_, end); });
+      pass(event, [&](Policy& policy) { policy.on_attempt_ended(now_, end); });
     } else if (name == "TICK_DUE") {
       std::uint64_t token = event.natural(2, "Name");
-      pass(event, [&](Policy& policy) { policy.woken(now_, token); });
+      pass(event, [&](Policy& policy) { policy.on_timer(now_, token); });
     } else if (name == "WITHDRAWN") {
       RequestId request = request_id(event);
-      pass(event, [&](Policy& policy) { policy.withdrawn(now_, request); });
+      pass(event, [&](Policy& policy) { policy.on_request_cancelled(now_, request); });
     } else if (name == "CATALOG") {
       lists_[event.natural(1, "Buffer")] = read_entries(event.at(2, "Entries"));
     } else if (name == "REGISTRY") {
@@ -137,7 +141,7 @@
       if (found == lists_.end()) throw Malformed("event REGISTRY names a Buffer that no CATALOG filled");
       entries = &found->second;
     }
-    pass(event, [&](Policy& policy) { policy.list(now_, kScopes[scope], *entries); });
+    pass(event, [&](Policy& policy) { policy.on_endpoint_list(now_, kScopes[scope], *entries); });
   }
 
   static RequestId request_id(const Message& event) {
