--- a/include/puffinvane/learned.h
+++ b/include/puffinvane/learned.h
@@ -1,4 +1,5 @@
-// What a module has learned and hands on to one that takes its place: plain samples, and no pending request.
+// What a policy has learned and exports to the one that takes its place: plain samples, no pending request.
+// The hot restart protocol writes these fields in this order and Health by its number (src/hot_restart).
 #pragma once
 
 #include <deque>
@@ -7,32 +8,38 @@
 
 namespace puffinvane {
 
+// Whether an endpoint, or one request class at an endpoint, may take attempts. Removed: it is not listed.
 enum class Health { Healthy, Ejected, Recovering, Removed };
 
+// One response of an endpoint.
 struct ResponseSample {
-  double completed_at_s = 0,
-         latency_ratio = 0;  // stretch: its latency over the calm one of its request class
-  int depth = 0;
-  bool in_time = false, failed = false;
+  double completed_at_s = 0;
+  double latency_ratio = 0;  // latency over the calm latency of its request class
+  int depth = 0;             // attempts in flight at the endpoint when it was sent, itself included
+  bool in_time = false;      // within the hedge threshold
+  bool failed = false;
   friend bool operator==(const ResponseSample&, const ResponseSample&) = default;
 };
 
-// Of an endpoint as a whole, or of one request class's requests there.
+// Of an endpoint as a whole, or of one request class at an endpoint.
 struct EndpointStatistics {
   Health health = Health::Removed;
-  double ejection_s = 0, ejected_until_s = 0, last_response_s = -1e9;
-  int recovery_limit = 0;
+  double ejection_s = 0;          // how long the next ejection lasts
+  double ejected_until_s = 0;     // on the monotonic clock
+  double last_response_s = -1e9;  // on the monotonic clock
+  int recovery_limit = 0;         // attempts in flight at most while recovering
   std::vector<ResponseSample> samples{};
-  double absent_since_s = 0;         // ejected, and not in full use since
-  std::vector<double> absences_s{};  // how long its last absences were
+  double absent_since_s = 0;         // when it was ejected, 0 while it is in full use
+  std::vector<double> absences_s{};  // how long the last absences lasted
   friend bool operator==(const EndpointStatistics&, const EndpointStatistics&) = default;
 };
 
-// May be told in parts: what one does not speak of is empty.
+// May be exported in parts: a field that a part leaves empty says nothing.
 struct LearnedState {
   struct RequestClassState {
     std::string name;
-    std::deque<double> latencies, means;
+    std::deque<double> latencies;  // seconds, of the last delivered requests
+    std::deque<double> means;      // seconds, mean latency of each of the last seconds
     friend bool operator==(const RequestClassState&, const RequestClassState&) = default;
   };
   struct EndpointState {
@@ -44,8 +51,9 @@
   };
   std::vector<RequestClassState> classes;
   std::vector<EndpointState> endpoints;
-  std::deque<double> lateness, completion_rates;
-  double started_at_s = 0;  // 0: not told
+  std::deque<double> lateness;          // of the last requests: 1 past its hedge threshold, 0 within
+  std::deque<double> completion_rates;  // responses in each of the last ticks of the policy
+  double started_at_s = 0;              // 0: not exported
 };
 
 }  // namespace puffinvane
--- a/include/puffinvane/table.h
+++ b/include/puffinvane/table.h
@@ -1,9 +1,9 @@
-// Decisions as rows of state, input, next state and effect. An input without a row in a state changes
-// nothing: what comes late for an object that has moved on is dropped.
+// State machines as tables of transitions: state, input, next state and effect.
 #pragma once
 
 namespace puffinvane {
 
+// One row: in `state`, `input` leads to `next` and runs `effect`, a member function of Subject.
 template <typename Subject, typename State, typename Input, typename... Of>
 struct Transition {
   State state;
@@ -12,10 +12,17 @@
   void (Subject::*effect)(Of&...);
 };
 
-template <typename Rows, typename Subject, typename State, typename Input, typename... Of>
-void apply_transition(const Rows& rows, Subject& subject, State& state, Input input, Of&... of) {
-  for (const auto& row : rows) {
-    if (row.state == state && row.input == input) return state = row.next, (subject.*row.effect)(of...);
+// Sets `state` and runs the effect of the row for its state and input. An input without a row in a state
+// changes nothing: an event that comes late for an object that has moved on is dropped.
+template <typename Transitions, typename Subject, typename State, typename Input, typename... Of>
+void apply_transition(const Transitions& transitions, Subject& subject, State& state, Input input,
+                      Of&... of) {
+  for (const auto& transition : transitions) {
+    if (transition.state == state && transition.input == input) {
+      state = transition.next;
+      (subject.*transition.effect)(of...);
+      return;
+    }
   }
 }
 
--- a/src/admin/shadow_policy.cpp
+++ b/src/admin/shadow_policy.cpp
@@ -34,8 +34,8 @@
     if (side_ == Acting) owner_.host_.fail_request(request);
   }
   void schedule_timer(double at, std::uint64_t token) override { owner_.wake(side_, at, token); }
-  void poll_endpoint_list(bool want) override {
-    if (side_ == Acting) owner_.host_.poll_endpoint_list(want);
+  void poll_endpoint_list() override {
+    if (side_ == Acting) owner_.host_.poll_endpoint_list();
   }
   void log(std::string_view text) override {
     if (side_ == Acting) owner_.host_.log(text);
--- a/src/admin/shadow_policy.h
+++ b/src/admin/shadow_policy.h
@@ -36,8 +36,8 @@
     now_ = now;
     for (const auto& side : sides_) side->on_shutdown(now, until);
   }
-  void on_instance_position(int me, int sidecars) override {
-    for (auto& side : sides_) side->on_instance_position(me, sidecars);
+  void on_instance_position(InstancePosition position) override {
+    for (auto& side : sides_) side->on_instance_position(position);
   }
   std::size_t avoided_endpoint_count() const override { return sides_[Acting]->avoided_endpoint_count(); }
   LearnedState export_learned_state() const override { return sides_[Acting]->export_learned_state(); }
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -200,8 +200,10 @@
     recent_rate_ = best_rate(kRateTicks), calm_rate_ = best_rate(rates_.size());
   }
 
-  void on_instance_position(int me, int all) override {
-    deployment_.instance_index = me, deployment_.instance_count = all, placed_ = true;
+  void on_instance_position(InstancePosition position) override {
+    deployment_.instance_index = position.index;
+    deployment_.instance_count = position.count;
+    placed_ = true;
   }
   std::size_t avoided_endpoint_count() const override { return std::size_t(count(Health::Ejected)); }
   void on_timer(double now, std::uint64_t token) override {
@@ -937,7 +939,7 @@
     if (ask_at_ > 0 && now_ >= ask_at_) {
       ask_at_ = 0;
       asked_until_ = now_ + deployment_.list_poll_interval_s;
-      host_.poll_endpoint_list(true);
+      host_.poll_endpoint_list();
     }
     if (asked_until_ > 0 && now_ > asked_until_) ask_again_later();
     keep(rates_, std::exchange(answers_, 0.0), std::size_t(kCalmSeconds / kTick));
--- a/src/policy/policy_test.cpp
+++ b/src/policy/policy_test.cpp
@@ -536,8 +536,8 @@
   Deployment made = deployment();
   made.instance_count = 2;
   FakeHost host(made);
-  host.list(
-      {{"warm", "here", 1, ListedState::Ready, 1, 0}, {"cold", "here", 1, ListedState::Ready, 1, host.now - 0.5}});
+  host.list({{"warm", "here", 1, ListedState::Ready, 1, 0},
+             {"cold", "here", 1, ListedState::Ready, 1, host.now - 0.5}});
   host.calm(50, 0.02);
   assert(host.sent_to("cold") < 0.45 * host.sent_to("warm"));
 }
@@ -1079,8 +1079,8 @@
 
 void a_fleet_that_is_in_slow_start_as_a_whole_is_still_sent_to() {
   FakeHost host(deployment());
-  host.list(
-      {{"a0", "here", 1, ListedState::Ready, 1, host.now - 1}, {"a1", "here", 1, ListedState::Ready, 1, host.now - 1}});
+  host.list({{"a0", "here", 1, ListedState::Ready, 1, host.now - 1},
+             {"a1", "here", 1, ListedState::Ready, 1, host.now - 1}});
   for (int i = 0; i < 30; ++i) host.request(), host.run(0.1);
   assert(host.sent.size() >= 2 && host.sent.size() < 10);
 }
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -656,7 +656,7 @@
 
 void RequestForwarder::share(std::map<std::string, double, std::less<>> parts, int place, int sidecars) {
   parts_ = std::move(parts);
-  policy_->on_instance_position(place, sidecars);
+  policy_->on_instance_position({place, sidecars});
   std::vector<ListEntry> notified;
   for (const auto& [name, entry] : listed_) notified.push_back(as_notified(entry));
   policy_->on_endpoint_list(loop_.now(), ListScope::Changes, notified);
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -97,7 +97,7 @@
   bool client_left(RequestId request);
   double time_to_tell(const PendingRequest& request, const PendingAttempt& attempt) const;
   void not_sent(RequestId request, int number);
-  void poll_endpoint_list(bool) override {}  // the watch always stands
+  void poll_endpoint_list() override {}  // the watch always stands
   void log(std::string_view text) override;
 
   void on_client_left(RequestId request) override;
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -231,7 +231,8 @@
         {"name":"s-3","status":"left","new":{"field":1}}]})");
   assert(list.index == 43 && !list.whole && list.entries.size() == 3 &&
          list.addresses[1] == "10.1.0.19:5000");
-  assert(list.entries[0].state == ListedState::Draining && list.since_ms[0] == 5000 && list.entries[0].cell == 3);
+  assert(list.entries[0].state == ListedState::Draining && list.since_ms[0] == 5000 &&
+         list.entries[0].cell == 3);
   assert(list.entries[1].state == ListedState::Ready && list.entries[1].weight == 1 && list.since_ms[1] == 0);
   assert(list.entries[2].state == ListedState::Removed && list.addresses[2].empty() && list.since_ms[2] == 0);
 }
--- a/testing/helpers.h
+++ b/testing/helpers.h
@@ -36,7 +36,7 @@
   void schedule_timer(double at, std::uint64_t token) override {
     wakes_.emplace(std::max(at, now + 0.001), token);
   }
-  void poll_endpoint_list(bool) override { asked.push_back(now); }
+  void poll_endpoint_list() override { asked.push_back(now); }
   void log(std::string_view text) override { logged.emplace_back(text); }
 
   void run(double seconds) {
--- a/tools/simulator_adapter/main.cpp
+++ b/tools/simulator_adapter/main.cpp
@@ -35,7 +35,7 @@
   void schedule_timer(double at, std::uint64_t token) override {
     open("REMIND"), add(at), add(token), close();
   }
-  void poll_endpoint_list(bool want) override { open("LISTEN"), out_ += want ? ",true" : ",false", close(); }
+  void poll_endpoint_list() override { open("LISTEN"), out_ += ",true", close(); }
   void log(std::string_view text) override { open("EMIT"), add(text), close(); }
   void fault(std::string_view text) { open("BUG"), add(text), close(); }
 
