--- /dev/null
+++ b/src/policy/endpoint_transitions.cpp
@@ -0,0 +1,201 @@
+// Endpoints: the table of health transitions with its effects, the list, what outcomes say of an endpoint,
+// and the periodic work on endpoints.
+#include <algorithm>
+#include <array>
+#include <iterator>
+#include <set>
+#include <string_view>
+
+#include "src/policy/backup_request_policy.h"
+
+namespace puffinvane {
+
+const std::array<BackupRequestPolicy::HealthTransition, 10> BackupRequestPolicy::kHealthTransitions = {{
+    {Health::Removed, HealthEvent::Listed, Health::Healthy, &BackupRequestPolicy::end_absence},
+    {Health::Healthy, HealthEvent::FailureDetected, Health::Ejected, &BackupRequestPolicy::eject},
+    {Health::Healthy, HealthEvent::Unlisted, Health::Removed, &BackupRequestPolicy::unlist},
+    {Health::Ejected, HealthEvent::EjectionEnded, Health::Recovering, &BackupRequestPolicy::begin_recovery},
+    {Health::Ejected, HealthEvent::ResponseReceived, Health::Recovering,
+     &BackupRequestPolicy::begin_recovery},
+    {Health::Ejected, HealthEvent::Unlisted, Health::Removed, &BackupRequestPolicy::unlist},
+    {Health::Recovering, HealthEvent::ResponseReceived, Health::Recovering,
+     &BackupRequestPolicy::widen_recovery},
+    {Health::Recovering, HealthEvent::RecoveryCompleted, Health::Healthy, &BackupRequestPolicy::end_absence},
+    {Health::Recovering, HealthEvent::FailureDetected, Health::Ejected, &BackupRequestPolicy::eject},
+    {Health::Recovering, HealthEvent::Unlisted, Health::Removed, &BackupRequestPolicy::unlist},
+}};
+
+void BackupRequestPolicy::apply_event(Endpoint& endpoint, AttemptTarget& target, HealthEvent event) {
+  Health before = target.ejection.health;
+  apply_transition(kHealthTransitions, *this, target.ejection.health, event, endpoint, target);
+  bool is_whole = &target == &endpoint.whole;
+  if (is_whole && target.ejection.health != before) {
+    endpoints_.on_health_changed(endpoint, before);
+  }
+}
+
+void BackupRequestPolicy::apply_event_to_all(Endpoint& endpoint, HealthEvent event) {
+  apply_event(endpoint, endpoint.whole, event);
+  for (AttemptTarget& target : endpoint.by_class) {
+    apply_event(endpoint, target, event);
+  }
+}
+
+void BackupRequestPolicy::eject(Endpoint&, AttemptTarget& target) {
+  OutlierEjection::begin_ejection(target.ejection, now_, random_);
+  target.responses.clear_samples();
+  host_.on_observation(PolicyObservation::EndpointEjected, 0);
+  subset_is_stale_ = true;
+  // What is lost there must not take capacity from the other endpoints until its deadline.
+  for (const InFlightAttempt& attempt : target.in_flight) {
+    limit_.release(requests_.at(attempt.request));
+  }
+}
+
+void BackupRequestPolicy::begin_recovery(Endpoint&, AttemptTarget& target) {
+  OutlierEjection::begin_recovery(target.ejection);
+  target.responses.clear_samples();
+}
+
+void BackupRequestPolicy::widen_recovery(Endpoint&, AttemptTarget& target) {
+  OutlierEjection::widen_recovery(target.ejection);
+}
+
+void BackupRequestPolicy::end_absence(Endpoint&, AttemptTarget& target) {
+  OutlierEjection::end_absence(target.ejection, now_);
+}
+
+void BackupRequestPolicy::apply_list_entry(const ListEntry& entry) {
+  Endpoint& endpoint = endpoints_.find_or_add(entry.endpoint);
+  if (entry.state == ListedState::Removed) {
+    on_endpoint_missing(endpoint);
+    return;
+  }
+  if (entry.state == ListedState::Draining) {
+    apply_event_to_all(endpoint, HealthEvent::Unlisted);
+    return;
+  }
+  EndpointTable::Update update = endpoints_.update_from_list(endpoint, entry);
+  if (update.weight_changed) {
+    subset_.on_weight_changed();
+  }
+  if (update.restarted) {
+    slow_start_.restart(endpoint.index);
+    apply_event_to_all(endpoint, HealthEvent::Unlisted);
+  }
+  apply_event_to_all(endpoint, HealthEvent::Listed);
+}
+
+void BackupRequestPolicy::mark_missing_except(std::span<const ListEntry> entries) {
+  std::set<std::string_view> listed;
+  for (const ListEntry& entry : entries) {
+    listed.insert(entry.endpoint);
+  }
+  for (const auto& [name, index] : endpoints_.by_name()) {
+    if (!listed.contains(name)) {
+      on_endpoint_missing(endpoints_[index]);
+    }
+  }
+}
+
+// Where such a list does not bind, an endpoint that is missing from it is removed once own attempts fail
+// there, too.
+void BackupRequestPolicy::on_endpoint_missing(Endpoint& endpoint) {
+  endpoint.is_missing = true;
+  if (!deployment_.only_draining_binds || endpoint.health() == Health::Ejected) {
+    apply_event_to_all(endpoint, HealthEvent::Unlisted);
+  }
+}
+
+void BackupRequestPolicy::release_removed_endpoints() {
+  EndpointTable::Release release = endpoints_.release_removed();
+  for (EndpointIndex index : release.removed) {
+    subset_.on_endpoint_removed(index);
+  }
+  for (EndpointIndex index : release.freed) {
+    subset_.on_slot_freed(index);
+    slow_start_.on_slot_freed(index);
+  }
+}
+
+void BackupRequestPolicy::on_failure(Endpoint& endpoint, std::optional<std::size_t> class_index) {
+  if (ejection_.may_eject(endpoint, class_index)) {
+    AttemptTarget& target = class_index ? endpoint.by_class[*class_index] : endpoint.whole;
+    apply_event(endpoint, target, HealthEvent::FailureDetected);
+  }
+}
+
+void BackupRequestPolicy::record_outcome(Endpoint& endpoint, const RequestState& request,
+                                         const Attempt& attempt, const AttemptEnd& end) {
+  std::size_t class_index = request.class_index;
+  ResponseFacts facts;
+  facts.sample.completed_at_s = now_;
+  facts.sample.latency_ratio = end.latency_s / latencies_.calm_latency_s(class_index);
+  facts.sample.depth = attempt.depth;
+  facts.sample.in_time = end.latency_s <= latencies_.hedge_threshold_s(class_index);
+  facts.request_latency_s = now_ - request.attempts.front().sent_at;
+  facts.sent_before_stall = attempt.sent_at < awake_since_;
+  bool shows_lag = end.outcome == Outcome::Delivered || end.outcome == Outcome::TimedOut;
+  if (deployment_.responses_report_load && !facts.sent_before_stall && shows_lag) {
+    fleet_load_.record_lag(now_, end.latency_s / class_of(request).latency_objective_s);
+  }
+  switch (end.outcome) {
+    case Outcome::Delivered: record_delivery(endpoint, request, facts); return;
+    case Outcome::Failed: record_error(endpoint, request, facts); return;
+    case Outcome::ConnectFailed:
+    case Outcome::Broken: on_failure(endpoint, std::nullopt); return;
+    // These say nothing of the endpoint.
+    case Outcome::Refused:
+    case Outcome::TimedOut:
+    case Outcome::Stale:
+    case Outcome::Cancelled:
+    case Outcome::NotSent: return;
+  }
+}
+
+void BackupRequestPolicy::record_delivery(Endpoint& endpoint, const RequestState& request,
+                                          const ResponseFacts& facts) {
+  bool is_pending = request.phase != RequestPhase::Finished;
+  std::array<AttemptTarget*, 2> targets = {&endpoint.whole, &endpoint.by_class[request.class_index]};
+  for (AttemptTarget* target : targets) {
+    target->responses.record_response_time(now_);
+    if (!facts.sent_before_stall) {
+      target->responses.record_sample(facts.sample);
+    }
+  }
+  if (is_pending) {
+    bool on_time = facts.request_latency_s <= class_of(request).latency_objective_s;
+    auto result = on_time ? ServiceStatistics::Result::OnTime : ServiceStatistics::Result::NotOnTime;
+    priority_.record_outcome(request, result, now_);
+  }
+  if (is_pending && !facts.sent_before_stall) {
+    double threshold_s = latencies_.hedge_threshold_s(request.class_index);
+    bool is_late = facts.request_latency_s > threshold_s;
+    hedging_.record_lateness(is_late ? Hedging::Lateness::Late : Hedging::Lateness::InTime);
+    latencies_.record_latency(request.class_index, facts.request_latency_s);
+  }
+  completions_.record_response();
+  for (AttemptTarget* target : targets) {
+    apply_event(endpoint, *target, HealthEvent::ResponseReceived);
+    if (OutlierEjection::has_recovered(target->ejection)) {
+      apply_event(endpoint, *target, HealthEvent::RecoveryCompleted);
+    }
+  }
+}
+
+void BackupRequestPolicy::record_error(Endpoint& endpoint, const RequestState& request, ResponseFacts facts) {
+  facts.sample.failed = true;
+  for (AttemptTarget* target : {&endpoint.whole, &endpoint.by_class[request.class_index]}) {
+    target->responses.record_response_time(now_);
+    target->responses.record_sample(facts.sample);
+  }
+  // With no tier behind it an error is the endpoint's own, and may be this request class's alone.
+  if (deployment_.last_tier) {
+    on_failure(endpoint, request.class_index);
+  }
+  if (ejection_.fails_more_than_others(endpoint)) {
+    on_failure(endpoint, std::nullopt);
+  }
+}
+
+}  // namespace puffinvane
--- /dev/null
+++ b/src/policy/outlier_ejection.cpp
@@ -0,0 +1,114 @@
+#include "src/policy/outlier_ejection.h"
+
+#include <algorithm>
+
+#include "src/policy/samples.h"
+
+namespace puffinvane {
+
+namespace {
+
+constexpr std::size_t kAbsenceLimit = 4;          // absences kept
+constexpr double kShortestEjectionSeconds = 0.5;  // where past absences were short
+constexpr double kJitterFloor = 0.75;  // ejections last 0.75 to 1.25 of their time, so that instances
+constexpr double kJitterSpan = 0.5;    // don't return together
+constexpr int kRecoveredLimit = 8;     // attempts in flight that end a recovery
+// Do not eject more than these shares of the listed endpoints: if most fail, the cause is probably a shared
+// dependency, and ejecting them would overload the rest.
+constexpr double kMostEjectedShare = 0.5;
+constexpr double kMostEjectedShareOfClass = 0.75;
+constexpr double kMinimumFailures = 3;
+constexpr double kErrorRatioMargin = 0.2;
+constexpr double kErrorRatioFactor = 2;  // times the others' error ratio
+// Hedge thresholds past which one attempt, or two together, make an endpoint unresponsive.
+constexpr double kOneOverdueThresholds = 2;
+constexpr double kTwoOverdueThresholds = 1;
+
+const EjectionState& state_of(const Endpoint& endpoint, std::optional<std::size_t> class_index) {
+  return class_index ? endpoint.by_class[*class_index].ejection : endpoint.whole.ejection;
+}
+
+}  // namespace
+
+bool OutlierEjection::accepts_attempts(const AttemptTarget& target) {
+  if (target.ejection.health == Health::Recovering) {
+    return int(target.in_flight.size()) < target.ejection.recovery_limit;
+  }
+  return target.ejection.health == Health::Healthy;
+}
+
+bool OutlierEjection::has_recovered(const EjectionState& state) {
+  return state.recovery_limit >= kRecoveredLimit;
+}
+
+void OutlierEjection::begin_ejection(EjectionState& state, double now, Random& random) {
+  if (state.absent_since == 0) {
+    state.absent_since = now;
+  }
+  state.ejected_until = now + state.next_ejection_s * (kJitterFloor + kJitterSpan * random.uniform());
+  state.next_ejection_s =
+      std::clamp(state.next_ejection_s * 2, kFirstEjectionSeconds, kLongestEjectionSeconds);
+}
+
+void OutlierEjection::begin_recovery(EjectionState& state) { state.recovery_limit = 1; }
+
+void OutlierEjection::widen_recovery(EjectionState& state) { state.recovery_limit *= 2; }
+
+void OutlierEjection::end_absence(EjectionState& state, double now) {
+  if (state.absent_since > 0) {
+    append_bounded(state.absences_s, now - state.absent_since, kAbsenceLimit);
+    state.absent_since = 0;
+  }
+  if (state.absences_s.empty()) {
+    state.next_ejection_s = kFirstEjectionSeconds;
+    return;
+  }
+  double half_of_absence_s = mean(state.absences_s) / 2;
+  state.next_ejection_s = std::clamp(half_of_absence_s, kShortestEjectionSeconds, kLongestEjectionSeconds);
+}
+
+bool OutlierEjection::may_eject(const Endpoint& endpoint, std::optional<std::size_t> class_index) const {
+  if (state_of(endpoint, class_index).health == Health::Recovering) {
+    return true;
+  }
+  auto ejected = std::ranges::count_if(endpoints_.tracked(), [&](EndpointIndex index) {
+    const Endpoint& other = endpoints_[index];
+    return other.health() != Health::Removed && state_of(other, class_index).health == Health::Ejected;
+  });
+  double most_share = class_index ? kMostEjectedShareOfClass : kMostEjectedShare;
+  return double(ejected + 1) <= most_share * endpoints_.listed_count();
+}
+
+bool OutlierEjection::is_unresponsive(const AttemptTarget& target, double now, double awake_since) const {
+  int overdue = 0;
+  for (const InFlightAttempt& attempt : target.in_flight) {
+    if (attempt.sent_at <= target.responses.last_response_at()) {
+      continue;
+    }
+    double waited_s = now - std::max(attempt.sent_at, awake_since);
+    double thresholds = waited_s / latencies_.hedge_threshold_s(attempt.class_index);
+    if (thresholds > kOneOverdueThresholds) {
+      return true;
+    }
+    if (thresholds > kTwoOverdueThresholds) {
+      ++overdue;
+    }
+  }
+  return overdue >= 2;
+}
+
+bool OutlierEjection::fails_more_than_others(const Endpoint& endpoint) const {
+  const ResponseHistory& responses = endpoint.whole.responses;
+  double other_failures = -responses.failure_count();
+  double other_samples = -double(responses.samples().size());
+  for (EndpointIndex index : endpoints_.tracked()) {
+    const ResponseHistory& tracked = endpoints_[index].whole.responses;
+    other_failures += tracked.failure_count();
+    other_samples += double(tracked.samples().size());
+  }
+  double others_ratio = other_failures / std::max(1.0, other_samples);
+  return responses.failure_count() >= kMinimumFailures &&
+         responses.error_ratio() > kErrorRatioMargin + kErrorRatioFactor * others_ratio;
+}
+
+}  // namespace puffinvane
--- /dev/null
+++ b/src/policy/request_transitions.cpp
@@ -0,0 +1,201 @@
+// Requests: their table of transitions with its effects, dispatch from the queue, and what follows a lost
+// attempt.
+#include <algorithm>
+#include <array>
+
+#include "src/policy/backup_request_policy.h"
+#include "src/policy/timer_token.h"
+
+namespace puffinvane {
+
+const std::array<BackupRequestPolicy::RequestTransition, 13> BackupRequestPolicy::kRequestTransitions = {{
+    {RequestPhase::Queued, RequestEvent::CapacityAvailable, RequestPhase::InFlight,
+     &BackupRequestPolicy::send_first_attempt},
+    {RequestPhase::Queued, RequestEvent::Reject, RequestPhase::Finished, &BackupRequestPolicy::reject},
+    {RequestPhase::Queued, RequestEvent::Fail, RequestPhase::Finished, &BackupRequestPolicy::fail},
+    {RequestPhase::Queued, RequestEvent::Concluded, RequestPhase::Finished, &BackupRequestPolicy::finish},
+    {RequestPhase::InFlight, RequestEvent::HedgeDue, RequestPhase::Hedged, &BackupRequestPolicy::send_hedge},
+    {RequestPhase::InFlight, RequestEvent::Retry, RequestPhase::Queued, &BackupRequestPolicy::requeue},
+    {RequestPhase::InFlight, RequestEvent::Reject, RequestPhase::Finished, &BackupRequestPolicy::reject},
+    {RequestPhase::InFlight, RequestEvent::Fail, RequestPhase::Finished, &BackupRequestPolicy::fail},
+    {RequestPhase::InFlight, RequestEvent::Concluded, RequestPhase::Finished, &BackupRequestPolicy::finish},
+    {RequestPhase::Hedged, RequestEvent::HedgeLost, RequestPhase::InFlight,
+     &BackupRequestPolicy::keep_waiting},
+    {RequestPhase::Hedged, RequestEvent::Reject, RequestPhase::Finished, &BackupRequestPolicy::reject},
+    {RequestPhase::Hedged, RequestEvent::Fail, RequestPhase::Finished, &BackupRequestPolicy::fail},
+    {RequestPhase::Hedged, RequestEvent::Concluded, RequestPhase::Finished, &BackupRequestPolicy::finish},
+}};
+
+void BackupRequestPolicy::apply_event(RequestState& request, RequestEvent event) {
+  apply_transition(kRequestTransitions, *this, request.phase, event, request);
+}
+
+void BackupRequestPolicy::send_first_attempt(RequestState& request) {
+  auto target = selection_.select(request, EndpointSelection::Order::LowestDepth, now_, random_);
+  send(request, *target);
+}
+
+void BackupRequestPolicy::send_hedge(RequestState& request) {
+  hedging_.count(Hedging::Outcome::Sent);
+  send(request, *request.hedge_target);
+}
+
+void BackupRequestPolicy::requeue(RequestState& request) {
+  limit_.release(request);
+  request.queue_deadline = std::max(request.queue_deadline, now_ + queue_timeout_s(request));
+  request.queue_position = queue_.enqueue(request.id, RequestQueue::kRetryRank);
+}
+
+void BackupRequestPolicy::reject(RequestState& request) {
+  constexpr double kWaitShare = 0.25;  // of the latency objective
+  double longest_s = deployment_.max_retry_after_s;
+  double wait_s = request.is_over_quota ? longest_s : class_of(request).latency_objective_s * kWaitShare;
+  priority_.record_outcome(request, ServiceStatistics::Result::NotOnTime, now_);
+  host_.reject_request(request.id, deployment_.sends_retry_after ? std::min(wait_s, longest_s) : 0);
+  finish(request);
+}
+
+void BackupRequestPolicy::fail(RequestState& request) {
+  priority_.record_outcome(request, ServiceStatistics::Result::NotOnTime, now_);
+  host_.fail_request(request.id);
+  finish(request);
+}
+
+void BackupRequestPolicy::finish(RequestState& request) {
+  limit_.release(request);
+  queue_.remove(request.queue_position);
+  if (!deployment_.may_cancel) {
+    return;
+  }
+  for (std::size_t number = 0; number < request.attempts.size(); ++number) {
+    if (request.attempts[number].is_in_flight) {
+      host_.cancel_attempt(request.id, int(number));
+    }
+  }
+}
+
+void BackupRequestPolicy::send(RequestState& request, EndpointIndex target) {
+  endpoints_.track(target);
+  Endpoint& endpoint = endpoints_[target];
+  endpoint.last_used_at = now_;
+  int number = int(request.attempts.size());
+  Attempt attempt;
+  attempt.endpoint = target;
+  attempt.depth = int(effective_depth(endpoint, now_)) + 1;
+  attempt.sent_at = now_;
+  attempt.zone = endpoint.zone;
+  attempt.cell = endpoint.cell;
+  request.attempts.push_back(std::move(attempt));
+  if (slow_start_.is_starting(endpoint, now_)) {
+    slow_start_.charge(target, request.work_s);
+  }
+  InFlightAttempt in_flight{now_, request.id, number, request.class_index};
+  endpoint.whole.in_flight.insert(in_flight);
+  endpoint.by_class[request.class_index].in_flight.insert(in_flight);
+  limit_.acquire(request);
+  host_.start_attempt(request.id, endpoint.name, 0);
+  bool may_hedge = class_of(request).idempotency == Idempotency::Safe && deployment_.parallel_attempts;
+  if (may_hedge && request.phase == RequestPhase::InFlight) {
+    start_attempt_timer(request, latencies_.hedge_threshold_s(request.class_index));
+  }
+}
+
+void BackupRequestPolicy::start_attempt_timer(const RequestState& request, double delay_s) {
+  host_.schedule_timer(now_ + delay_s, hedge_timer(request.id));
+}
+
+void BackupRequestPolicy::consider_hedge(RequestState& request) {
+  const Endpoint& late_endpoint = endpoints_[request.attempts.back().endpoint];
+  Hedging::Decision decision = hedging_.decide(request, late_endpoint, now_, awake_since_);
+  if (decision == Hedging::Decision::Recheck && hedging_.should_recheck(request, now_, awake_since_)) {
+    start_attempt_timer(request, latencies_.hedge_threshold_s(request.class_index));
+  }
+  if (decision != Hedging::Decision::Allowed) {
+    return;
+  }
+  request.hedge_target = selection_.select(request, EndpointSelection::Order::AtRandom, now_, random_);
+  if (!request.hedge_target) {
+    hedging_.count(Hedging::Outcome::NoEndpoint);
+    return;
+  }
+  if (hedging_.accepts_target(endpoints_[*request.hedge_target], now_)) {
+    apply_event(request, RequestEvent::HedgeDue);
+  }
+}
+
+void BackupRequestPolicy::dispatch_queued_requests() {
+  if (queue_.empty()) {
+    return;
+  }
+  // Request classes for which no endpoint accepts a first attempt: other requests of them need not look
+  // again.
+  std::vector<bool> class_is_blocked(latencies_.class_count(), false);
+  for (auto next = queue_.begin(); next != queue_.end();) {
+    RequestState& request = requests_.at(next->second);
+    bool has_capacity = has_capacity_for(request);
+    if (!has_capacity && !priority_.isolated_service(request)) {
+      break;
+    }
+    bool is_first = request.attempts.empty();
+    bool is_blocked = is_first && class_is_blocked[request.class_index];
+    bool is_sendable = has_capacity && !is_blocked &&
+                       selection_.select(request, EndpointSelection::Order::LowestDepth, now_, random_);
+    if (is_first && has_capacity && !is_sendable) {
+      class_is_blocked[request.class_index] = true;
+    }
+    if (!is_sendable) {
+      ++next;
+      continue;
+    }
+    next = queue_.remove(next);
+    apply_event(request, RequestEvent::CapacityAvailable);
+  }
+}
+
+void BackupRequestPolicy::give_up_expired_requests() {
+  for (auto next = queue_.begin(); next != queue_.end();) {
+    auto found = requests_.find(next->second);
+    ++next;  // an event removes the present entry
+    RequestState& request = found->second;
+    if (now_ >= request.queue_deadline) {
+      apply_event(request, give_up_event(request));
+      erase_if_complete(found);
+    }
+  }
+}
+
+BackupRequestPolicy::RequestEvent BackupRequestPolicy::event_after_loss(const RequestState& request) const {
+  if (request.phase == RequestPhase::Hedged) {
+    return RequestEvent::HedgeLost;
+  }
+  if (RetrySafety::is_suspect(request) || !selection_.has_retry_target(request, now_)) {
+    return give_up_event(request);
+  }
+  return RequestEvent::Retry;
+}
+
+BackupRequestPolicy::RequestEvent BackupRequestPolicy::give_up_event(const RequestState& request) const {
+  return retry_safety_.may_reject(request) ? RequestEvent::Reject : RequestEvent::Fail;
+}
+
+void BackupRequestPolicy::erase_if_complete(Requests::iterator request) {
+  const RequestState& state = request->second;
+  if (state.phase == RequestPhase::Finished && !has_attempt_in_flight(state)) {
+    requests_.erase(request);
+  }
+}
+
+bool BackupRequestPolicy::has_capacity_for(const RequestState& request) const {
+  return limit_.has_capacity_for(request, now_, started_at_);
+}
+
+double BackupRequestPolicy::queue_timeout_s(const RequestState& request) const {
+  double objective_s = class_of(request).latency_objective_s;
+  return RequestQueue::timeout_s(objective_s, latencies_.calm_latency_s(request.class_index));
+}
+
+const RequestClass& BackupRequestPolicy::class_of(const RequestState& request) const {
+  return deployment_.request_classes[request.class_index];
+}
+
+}  // namespace puffinvane
