--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -18,103 +18,143 @@
 constexpr double kDepthTieShare = 0.2;        // of the depth
 constexpr double kSmallestDraw = 1e-9;        // keeps the logarithm finite
 
-}  // namespace
+// One selection: what holds for all candidates is worked out once.
+class CandidateScorer {
+ public:
+  CandidateScorer(const EndpointSelection::Inputs& inputs, const RequestState& request,
+                  EndpointSelection::Order order, bool weights_are_shares, double now)
+      : inputs_(inputs), request_(request), now_(now), weights_are_shares_(weights_are_shares) {
+    const Deployment& deployment = inputs.deployment;
+    const RequestClass& request_class = deployment.request_classes[request.class_index];
+    bool ignores_own_attempt = deployment.responses_report_load || weights_are_shares;
+    is_random_ = order == EndpointSelection::Order::AtRandom;
+    is_first_attempt_ = request.attempts.empty();
+    may_repeat_endpoint_ = inputs.retry_safety.may_repeat_endpoint(request);
+    is_unsafe_ = request_class.idempotency == Idempotency::Unsafe;
+    needs_draw_ = ignores_own_attempt || is_random_;
+    own_attempt_depth_ = ignores_own_attempt ? 0 : 1;
+    cross_zone_depth_ = kCrossZoneDepth * deployment.cross_zone_price;
+  }
 
-std::optional<EndpointIndex> EndpointSelection::select(const RequestState& request, Order order, double now,
-                                                       Random& random) const {
-  const Subset& subset = inputs_.subset;
-  std::optional<EndpointIndex> selected = select_among(subset.members(), request, order, now, random);
-  if (!selected && subset.members().size() < subset.ring().size()) {
-    selected = select_among(subset.ring(), request, order, now, random);
+  bool is_eligible(const Endpoint& endpoint) const {
+    if (!accepts_attempts(endpoint)) {
+      return false;
+    }
+    // A recovering endpoint is on trial: an unsafe request, which could not be sent again, is not risked
+    // there.
+    if (endpoint.health() == Health::Recovering && is_unsafe_) {
+      return false;
+    }
+    if (is_first_attempt_) {
+      return true;
+    }
+    if (is_repeat(endpoint) && !may_repeat_endpoint_) {
+      return false;
+    }
+    return inputs_.retry_safety.may_attempt(request_, endpoint, now_);
   }
-  return selected;
-}
 
-std::optional<EndpointIndex> EndpointSelection::select_among(const std::vector<EndpointIndex>& candidates,
-                                                             const RequestState& request, Order order,
-                                                             double now, Random& random) const {
+  // The lowest score is selected. Ties break at random, in proportion to the weight, as the least of
+  // exponential draws is so spread. With a key the draw is a hash that is the same at all instances, as an
+  // endpoint that met the key lately does less work for it.
+  double score(const Endpoint& endpoint, Random& random) const {
+    bool has_key = request_.key_hash != 0;
+    double uniform =
+        has_key ? to_unit_interval(hash_name(request_.key_hash, endpoint.name)) : random.uniform();
+    double draw = needs_draw_ ? -std::log(kSmallestDraw + uniform) : 0;
+    double cross_zone = endpoint.zone == inputs_.deployment.zone ? 0 : cross_zone_depth_;
+    double retry = is_repeat(endpoint) ? kSameEndpointRetryDepth : 0;
+    double depth = double(endpoint.whole.in_flight.size()) + own_attempt_depth_ + cross_zone + retry;
+    double tie = 0;
+    if (weights_are_shares_) {
+      tie = draw;
+    } else if (inputs_.deployment.responses_report_load) {
+      tie = (has_key ? kKeyAffinityDepth : kReportedTieShare) * draw;
+    } else {
+      tie = depth * kDepthTieShare * random.uniform();
+    }
+    return is_random_ ? draw : (depth + tie) / weight_of(endpoint);
+  }
+
+ private:
+  bool is_repeat(const Endpoint& endpoint) const {
+    return !is_first_attempt_ && has_attempted(request_, endpoint.index);
+  }
+
+  bool accepts_attempts(const Endpoint& endpoint) const {
+    if (!OutlierEjection::accepts_attempts(endpoint.whole)) {
+      return false;
+    }
+    if (!endpoint.by_class.empty() &&
+        !OutlierEjection::accepts_attempts(endpoint.by_class[request_.class_index])) {
+      return false;
+    }
+    if (!inputs_.slow_start.is_starting(endpoint, now_)) {
+      return true;
+    }
+    return inputs_.subset.own_weight(endpoint.index) > 0 && inputs_.slow_start.has_budget(endpoint.index);
+  }
+
+  double weight_of(const Endpoint& endpoint) const {
+    double own_weight = inputs_.subset.own_weight(endpoint.index);
+    double weight = (own_weight > 0 ? own_weight : endpoint.weight) / endpoint.whole.responses.slowness(now_);
+    // What the slow-start rule leaves is used soon: saved up, it would be spent by all instances at once.
+    if (inputs_.slow_start.is_starting(endpoint, now_)) {
+      weight *= kStartingEndpointDepth;
+    }
+    // A heavy request's own work is most of its latency, so it goes rather to fast endpoints.
+    if (request_.heaviness > 1) {
+      weight = std::pow(weight, request_.heaviness);
+    }
+    return weight;
+  }
+
+  const EndpointSelection::Inputs inputs_;
+  const RequestState& request_;
+  double now_;
+  bool weights_are_shares_;
+  bool is_random_ = false;
+  bool is_first_attempt_ = true;
+  bool may_repeat_endpoint_ = false;
+  bool is_unsafe_ = false;
+  bool needs_draw_ = false;       // an exponential draw decides, or breaks ties
+  double own_attempt_depth_ = 0;  // that the attempt itself counts for
+  double cross_zone_depth_ = 0;   // that another zone counts for
+};
+
+std::optional<EndpointIndex> select_among(const std::vector<EndpointIndex>& candidates,
+                                          const EndpointTable& endpoints, const CandidateScorer& scorer,
+                                          Random& random) {
   std::optional<EndpointIndex> selected;
   double lowest = 0;
   for (EndpointIndex index : candidates) {
-    const Endpoint& endpoint = inputs_.endpoints[index];
-    if (!may_get(endpoint, request, now)) {
+    const Endpoint& endpoint = endpoints[index];
+    if (!scorer.is_eligible(endpoint)) {
       continue;
     }
-    double candidate_score = score(endpoint, request, order, now, random);
-    if (!selected || candidate_score < lowest) {
+    double score = scorer.score(endpoint, random);
+    if (!selected || score < lowest) {
       selected = index;
-      lowest = candidate_score;
+      lowest = score;
     }
   }
   return selected;
 }
 
-bool EndpointSelection::accepts(const Endpoint& endpoint, const RequestState& request, double now) const {
-  if (!OutlierEjection::accepts_attempts(endpoint.whole)) {
-    return false;
-  }
-  if (!endpoint.by_class.empty() &&
-      !OutlierEjection::accepts_attempts(endpoint.by_class[request.class_index])) {
-    return false;
-  }
-  if (!inputs_.slow_start.is_starting(endpoint, now)) {
-    return true;
-  }
-  return inputs_.subset.own_weight(endpoint.index) > 0 && inputs_.slow_start.has_budget(endpoint.index);
-}
-
-bool EndpointSelection::may_get(const Endpoint& endpoint, const RequestState& request, double now) const {
-  if (has_attempted(request, endpoint.index) && !inputs_.retry_safety.may_repeat_endpoint(request)) {
-    return false;
-  }
-  if (!accepts(endpoint, request, now) || !inputs_.retry_safety.may_attempt(request, endpoint, now)) {
-    return false;
-  }
-  // A recovering endpoint is on trial: an unsafe request, which could not be sent again, is not risked there.
-  Idempotency idempotency = inputs_.deployment.request_classes[request.class_index].idempotency;
-  return endpoint.health() != Health::Recovering || idempotency != Idempotency::Unsafe;
-}
+}  // namespace
 
-double EndpointSelection::weight_of(const Endpoint& endpoint, const RequestState& request, double now) const {
-  double own_weight = inputs_.subset.own_weight(endpoint.index);
-  double weight = (own_weight > 0 ? own_weight : endpoint.weight) / endpoint.whole.responses.slowness(now);
-  // What the slow-start rule leaves is used soon: saved up, it would be spent by all instances at once.
-  if (inputs_.slow_start.is_starting(endpoint, now)) {
-    weight *= kStartingEndpointDepth;
-  }
-  // A heavy request's own work is most of its latency, so it goes rather to fast endpoints.
-  if (request.heaviness > 1) {
-    weight = std::pow(weight, request.heaviness);
+std::optional<EndpointIndex> EndpointSelection::select(const RequestState& request, Order order, double now,
+                                                       Random& random) const {
+  if (int(request.attempts.size()) >= inputs_.deployment.max_attempts) {
+    return std::nullopt;
   }
-  return weight;
-}
-
-// Ties break at random, in proportion to the weight, as the least of exponential draws is so spread. With a
-// key the draw is a hash that is the same at all instances, as an endpoint that met the key lately does less
-// work for it.
-double EndpointSelection::score(const Endpoint& endpoint, const RequestState& request, Order order,
-                                double now, Random& random) const {
-  const Deployment& deployment = inputs_.deployment;
-  bool reports_load = deployment.responses_report_load;
-  bool is_random = order == Order::AtRandom;
-  bool is_draw_needed = reports_load || weights_are_shares_ || is_random;
-  double weight = weight_of(endpoint, request, now);
-  double uniform =
-      request.key_hash != 0 ? to_unit_interval(hash_name(request.key_hash, endpoint.name)) : random.uniform();
-  double draw = is_draw_needed ? -std::log(kSmallestDraw + uniform) : 0;
-  double own_attempt = reports_load || weights_are_shares_ ? 0 : 1;
-  double cross_zone = endpoint.zone == deployment.zone ? 0 : kCrossZoneDepth * deployment.cross_zone_price;
-  double retry = has_attempted(request, endpoint.index) ? kSameEndpointRetryDepth : 0;
-  double depth = double(endpoint.whole.in_flight.size()) + own_attempt + cross_zone + retry;
-  double tie = 0;
-  if (weights_are_shares_) {
-    tie = draw;
-  } else if (reports_load) {
-    tie = (request.key_hash != 0 ? kKeyAffinityDepth : kReportedTieShare) * draw;
-  } else {
-    tie = depth * kDepthTieShare * random.uniform();
+  CandidateScorer scorer(inputs_, request, order, weights_are_shares_, now);
+  const Subset& subset = inputs_.subset;
+  std::optional<EndpointIndex> selected = select_among(subset.members(), inputs_.endpoints, scorer, random);
+  if (!selected && subset.members().size() < subset.ring().size()) {
+    selected = select_among(subset.ring(), inputs_.endpoints, scorer, random);
   }
-  return is_random ? draw : (depth + tie) / weight;
+  return selected;
 }
 
 bool EndpointSelection::has_retry_target(const RequestState& request, double now) const {
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -38,16 +38,6 @@
   bool has_retry_target(const RequestState& request, double now) const;
 
  private:
-  std::optional<EndpointIndex> select_among(const std::vector<EndpointIndex>& candidates,
-                                            const RequestState& request, Order order, double now,
-                                            Random& random) const;
-  bool accepts(const Endpoint& endpoint, const RequestState& request, double now) const;
-  bool may_get(const Endpoint& endpoint, const RequestState& request, double now) const;
-  double weight_of(const Endpoint& endpoint, const RequestState& request, double now) const;
-  // The lowest score is selected.
-  double score(const Endpoint& endpoint, const RequestState& request, Order order, double now,
-               Random& random) const;
-
   Inputs inputs_;
   bool weights_are_shares_ = false;
 };
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -30,13 +30,6 @@
 
 }  // namespace
 
-bool OutlierEjection::accepts_attempts(const AttemptTarget& target) {
-  if (target.ejection.health == Health::Recovering) {
-    return int(target.in_flight.size()) < target.ejection.recovery_limit;
-  }
-  return target.ejection.health == Health::Healthy;
-}
-
 bool OutlierEjection::has_recovered(const EjectionState& state) {
   return state.recovery_limit >= kRecoveredLimit;
 }
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -21,7 +21,12 @@
       : endpoints_(endpoints), latencies_(latencies) {}
 
   // Whether a healthy target, or a recovering one under its limit.
-  static bool accepts_attempts(const AttemptTarget& target);
+  static bool accepts_attempts(const AttemptTarget& target) {
+    if (target.ejection.health == Health::Recovering) {
+      return int(target.in_flight.size()) < target.ejection.recovery_limit;
+    }
+    return target.ejection.health == Health::Healthy;
+  }
   static bool has_recovered(const EjectionState& state);
 
   // Effects of the transitions.
--- a/src/policy/response_history.cpp
+++ b/src/policy/response_history.cpp
@@ -57,10 +57,7 @@
   return failure_count() / std::max(1.0, double(samples_.size()));
 }
 
-double ResponseHistory::slowness(double now) const {
-  if (now < cached_until_) {
-    return cached_slowness_;
-  }
+double ResponseHistory::update_slowness(double now) const {
   double sum = kPriorSamples;
   double count = kPriorSamples;
   cached_until_ = now + kSampleMaxAgeSeconds;
--- a/src/policy/response_history.h
+++ b/src/policy/response_history.h
@@ -27,11 +27,13 @@
   double failure_count() const;
   double error_ratio() const;
   // Mean latency of recent responses against the calm latency of their request class; 1 is as usual.
-  double slowness(double now) const;
+  double slowness(double now) const { return now < cached_until_ ? cached_slowness_ : update_slowness(now); }
   // The queueing capacity C of the backup request paper: the depth up to which responses come in time.
   double learned_capacity() const;
 
  private:
+  double update_slowness(double now) const;
+
   std::vector<ResponseSample> samples_;
   double last_response_at_ = -1e9;
   // The result of slowness, valid until a sample is added or grows too old: each selection asks every
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -17,10 +17,6 @@
 
 }  // namespace
 
-bool SlowStart::is_starting(const Endpoint& endpoint, double now) const {
-  return endpoint.online_since > 0 && now < endpoint.online_since + deployment_.slow_start.duration_s;
-}
-
 void SlowStart::charge(EndpointIndex index, double work_s) { budgets_[index] -= cost_of(work_s); }
 
 // A heavy request costs as much as it is heavier than the mean; a light one costs a whole attempt.
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -12,7 +12,9 @@
  public:
   explicit SlowStart(const Deployment& deployment) : deployment_(deployment) {}
 
-  bool is_starting(const Endpoint& endpoint, double now) const;
+  bool is_starting(const Endpoint& endpoint, double now) const {
+    return endpoint.online_since > 0 && now < endpoint.online_since + deployment_.slow_start.duration_s;
+  }
   // Whether the budget of a starting endpoint covers one more attempt.
   bool has_budget(EndpointIndex index) const { return budgets_.at_or_default(index) >= 1; }
   // Charges an attempt; `work_s` is the expected work of its request, 0 if unknown.
