--- /dev/null
+++ b/src/policy/request_queue_behavior_test.cpp
@@ -0,0 +1,47 @@
+// How long requests wait for an endpoint or for capacity, and what ends their wait.
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "testing/policy/fake_host.h"
+
+namespace puffinvane::test {
+namespace {
+
+TEST(RequestQueue, RejectsRequestWithoutAnyEndpointBeforeItsDeadline) {
+  FakeHost host{deployment()};
+  RequestId request = host.receive(request_of_class("mutating").due_in(4));
+
+  host.run_for(1);
+
+  EXPECT_EQ(host.rejected(), std::vector<RequestId>{request});
+}
+
+TEST(RequestQueue, RejectsAtOnceIfAllEndpointsAreDraining) {
+  FakeHost host{deployment()};
+  host.list_ready_endpoints(2);
+  host.list_endpoints({endpoint("a0").draining(), endpoint("a1").draining()});
+
+  RequestId request = host.receive();
+
+  EXPECT_EQ(host.sent().size(), 0U);
+  EXPECT_EQ(host.rejected(), std::vector<RequestId>{request});
+}
+
+// The timer that finds unresponsive endpoints frees capacity; requests whose queue timeout ends then get it.
+TEST(RequestQueue, DispatchesRequestIfCapacityIsFreedAsItsQueueTimeoutEnds) {
+  FakeHost host{deployment()};
+  host.list_ready_endpoints(2);
+  host.serve_requests(150, 0.05);
+  host.receive_many(14, request_of_class("mutating"));
+  host.run_for(0.301);
+  RequestId queued = host.receive();
+  ASSERT_EQ(host.attempt_count(queued), 0);
+
+  host.run_for(0.9);  // the queue timeout is 0.7 s; an attempt counts as lost after 1 s
+
+  EXPECT_EQ(host.attempt_count(queued), 1);
+}
+
+}  // namespace
+}  // namespace puffinvane::test
--- /dev/null
+++ b/testing/policy/builders.h
@@ -0,0 +1,188 @@
+// Builders of what the policy's tests pass to it: settings, endpoints of a list and requests. Each starts
+// from defaults that most tests share, so that a test names only what it depends on.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "puffinvane/policy.h"
+
+namespace puffinvane::test {
+
+// An entry of an endpoint list; by default a ready endpoint of weight 1 in cell 1 of the zone "here", online
+// since before the process started.
+class EndpointBuilder {
+ public:
+  explicit EndpointBuilder(std::string name) {
+    entry_.endpoint = std::move(name);
+    entry_.zone = "here";
+    entry_.cell = 1;
+  }
+  EndpointBuilder& in_zone(std::string zone) {
+    entry_.zone = std::move(zone);
+    return *this;
+  }
+  EndpointBuilder& in_cell(std::int64_t cell) {
+    entry_.cell = cell;
+    return *this;
+  }
+  EndpointBuilder& with_weight(double weight) {
+    entry_.weight = weight;
+    return *this;
+  }
+  EndpointBuilder& draining() {
+    entry_.state = ListedState::Draining;
+    return *this;
+  }
+  EndpointBuilder& removed() {
+    entry_.state = ListedState::Removed;
+    return *this;
+  }
+  EndpointBuilder& online_since(double time_s) {
+    entry_.online_since_s = time_s;
+    return *this;
+  }
+  operator ListEntry() const { return entry_; }  // NOLINT(google-explicit-constructor): used in lists
+
+ private:
+  ListEntry entry_;
+};
+
+inline EndpointBuilder endpoint(std::string name) { return EndpointBuilder(std::move(name)); }
+
+// A request as a client sends it; by default of no tenant, without a key, of unknown work, due in 4 s.
+class RequestBuilder {
+ public:
+  explicit RequestBuilder(std::string request_class) : request_class_(std::move(request_class)) {}
+  RequestBuilder& due_in(double remaining_time_s) {
+    remaining_time_s_ = remaining_time_s;
+    return *this;
+  }
+  RequestBuilder& for_tenant(std::string tenant) {
+    tenant_ = std::move(tenant);
+    return *this;
+  }
+  RequestBuilder& with_key(std::string key) {
+    key_ = std::move(key);
+    return *this;
+  }
+  RequestBuilder& with_work(double work_s) {
+    work_s_ = work_s;
+    return *this;
+  }
+  // The request under `id`; its texts are those of this builder.
+  Request build(RequestId id) const {
+    return {id, request_class_, tenant_, remaining_time_s_, key_, work_s_};
+  }
+
+ private:
+  std::string request_class_;
+  std::string tenant_;
+  std::string key_;
+  double remaining_time_s_ = 4;
+  double work_s_ = 0;
+};
+
+inline RequestBuilder request_of_class(std::string request_class) {
+  return RequestBuilder(std::move(request_class));
+}
+
+// Settings with one request class for each kind of idempotency: "read" (safe), "tagged", "tagged-all" and
+// "tagged-cell" (keyed, for 1 s, within a zone, all endpoints and a cell) and "mutating" (unsafe, and of 8
+// times their priority weight). One instance, 4 attempts, hedging and cancellation are on.
+class DeploymentBuilder {
+ public:
+  DeploymentBuilder() {
+    settings_.request_classes = {
+        request_class("read", Idempotency::Safe, Group::All),
+        request_class("tagged", Idempotency::Keyed, Group::Zone),
+        request_class("tagged-all", Idempotency::Keyed, Group::All),
+        request_class("tagged-cell", Idempotency::Keyed, Group::Cell),
+        request_class("mutating", Idempotency::Unsafe, Group::All),
+    };
+    settings_.request_classes.back().priority_weight = 8;
+    settings_.slow_start.initial_share = 0.2;
+    settings_.slow_start.duration_s = 10;
+    settings_.max_attempts = 4;
+    settings_.parallel_attempts = true;
+    settings_.may_cancel = true;
+    settings_.sends_retry_after = true;
+    settings_.max_retry_after_s = 2;
+    settings_.round_trip_s = 0.005;
+  }
+  // Responses report the endpoint's load, and no tier is behind the endpoints.
+  DeploymentBuilder& reporting_load() {
+    settings_.responses_report_load = true;
+    settings_.last_tier = true;
+    return *this;
+  }
+  DeploymentBuilder& as_instance(int index, int count) {
+    settings_.instance_index = index;
+    settings_.instance_count = count;
+    return *this;
+  }
+  DeploymentBuilder& with_tenant(std::string name, double quota_per_s) {
+    settings_.tenants.push_back({std::move(name), quota_per_s});
+    return *this;
+  }
+  DeploymentBuilder& with_slow_start(const SlowStartRule& rule) {
+    settings_.slow_start = rule;
+    return *this;
+  }
+  // Of every request class.
+  DeploymentBuilder& with_latency_objective(double objective_s) {
+    for (RequestClass& request_class : settings_.request_classes) {
+      request_class.latency_objective_s = objective_s;
+    }
+    return *this;
+  }
+  DeploymentBuilder& with_connect_timeout(double timeout_s) {
+    settings_.connect_timeout_s = timeout_s;
+    return *this;
+  }
+  DeploymentBuilder& with_cross_zone_price(double price) {
+    settings_.cross_zone_price = price;
+    return *this;
+  }
+  DeploymentBuilder& in_zone(std::string zone) {
+    settings_.zone = std::move(zone);
+    return *this;
+  }
+  DeploymentBuilder& with_key_affinity() {
+    settings_.has_key_affinity = true;
+    return *this;
+  }
+  DeploymentBuilder& with_priority_by_work() {
+    settings_.priority_by_work = true;
+    return *this;
+  }
+  DeploymentBuilder& polling_endpoint_list() {
+    settings_.polls_endpoint_list = true;
+    return *this;
+  }
+  DeploymentBuilder& where_only_draining_binds() {
+    settings_.only_draining_binds = true;
+    return *this;
+  }
+  operator Deployment() const { return settings_; }  // NOLINT(google-explicit-constructor): used as settings
+
+ private:
+  static RequestClass request_class(std::string name, Idempotency idempotency, Group group) {
+    RequestClass made;
+    made.name = std::move(name);
+    made.idempotency = idempotency;
+    made.group = group;
+    made.idempotency_window_s = idempotency == Idempotency::Keyed ? 1 : 0;
+    made.latency_objective_s = 1;
+    made.priority_weight = 1;
+    return made;
+  }
+
+  Deployment settings_;
+};
+
+inline DeploymentBuilder deployment() { return {}; }
+
+}  // namespace puffinvane::test
--- /dev/null
+++ b/testing/policy/slow_start_fleet.h
@@ -0,0 +1,235 @@
+// All instances of a deployment around one endpoint in slow start: what rule 4 bounds is their sum.
+#pragma once
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "testing/policy/fake_host.h"
+
+namespace puffinvane::test {
+
+// What befalls the instances while the endpoint is in slow start.
+enum class Disturbance {
+  None,
+  StaleInstanceCount,  // they believe that they are half as many, and two of them have each index
+  HotRestarts,         // beside each serves a successor with its learned state
+  Restarts,            // all restart, one after another within a second, without learned state
+  UnequalWork,         // one request in ten is six times as heavy as the others
+};
+
+enum class TrafficBeforeBurst { None, Steady };
+
+struct SlowStartScenario {
+  int instances = 1;
+  int endpoints = 7;
+  double requests_per_endpoint_s = 8;
+  double pause_s = 5;  // between the start of the endpoint and the burst
+  TrafficBeforeBurst traffic = TrafficBeforeBurst::None;
+  Disturbance disturbance = Disturbance::None;
+  double initial_share = 0.2;
+  double duration_s = 10;
+};
+
+// The instances and their endpoints "a0", "a1" and so on; "a0" starts after a while of steady traffic.
+class SlowStartFleet {
+ public:
+  SlowStartFleet(const SlowStartScenario& scenario, unsigned seed)
+      : scenario_(scenario), seed_(seed), random_state_(seed) {
+    for (int i = 0; i < scenario.instances; ++i) instances_.push_back(start_instance(i, kStartS));
+  }
+
+  // Steady traffic, the start of the endpoint, a pause, and then a burst during which no endpoint answers.
+  void run_burst() {
+    start_endpoint();
+    pass(scenario_.pause_s, scenario_.traffic == TrafficBeforeBurst::Steady ? kSteadyLoad : 0,
+         Endpoints::Answer);
+    if (scenario_.disturbance == Disturbance::HotRestarts) hand_over();
+    pass(kBurstS, kSteadyLoad * kBurstMultiple, Endpoints::Hang);
+  }
+  // Steady traffic only: the attempts that the endpoint gets in the first half of its slow start, as a part
+  // of those that its share comes to.
+  double run_steady() {
+    start_endpoint();
+    double half_s = scenario_.duration_s / 2;
+    pass(half_s, kSteadyLoad, Endpoints::Answer);
+    double mean_share = scenario_.initial_share + (1 - scenario_.initial_share) / 4;
+    double due = kSteadyLoad * scenario_.requests_per_endpoint_s * mean_share * half_s;
+    return double(arrivals_at_started_endpoint().size()) / due;
+  }
+  // The work beyond what the rule allows in the worst window of the slow start, as attempts of mean work; 0
+  // or less if the rule is kept. Arrivals are random: two or three standard deviations are allowed for.
+  double worst_excess() const {
+    std::vector<Arrival> arrivals = arrivals_at_started_endpoint();
+    double worst = -1e9;
+    double in_window = 0;
+    std::size_t last = 0;
+    for (const Arrival& first : arrivals) {
+      while (last < arrivals.size() && arrivals[last].at_s < first.at_s + kRule.overload_window_s) {
+        in_window += arrivals[last].relative_work;
+        ++last;
+      }
+      worst = std::max(worst, in_window - allowed_in_window(first.at_s));
+      in_window -= first.relative_work;
+    }
+    return worst;
+  }
+
+ private:
+  static constexpr SlowStartRule kRule{};  // the strictest overload that deployments set
+  static constexpr double kStartS = 100;
+  static constexpr double kStepS = 0.02;
+  static constexpr double kSteadyS = 8;
+  static constexpr double kBurstS = 1.5;
+  static constexpr double kResponseS = 0.1;
+  static constexpr double kSteadyLoad = 0.9;
+  static constexpr double kBurstMultiple = 8;
+  static constexpr double kMeanWorkS = 0.05;
+
+  enum class Endpoints { Answer, Hang };
+
+  struct Instance {
+    std::unique_ptr<FakeHost> host;
+    std::size_t answered = 0;  // attempts
+    int index = 0;
+  };
+
+  struct Arrival {
+    double at_s = 0;
+    double relative_work = 1;  // against the mean
+    friend auto operator<=>(const Arrival&, const Arrival&) = default;
+  };
+
+  double now_s() const { return instances_[0].host->now_s(); }
+
+  Instance start_instance(int index, double start_s) {
+    SlowStartRule rule = kRule;
+    rule.initial_share = scenario_.initial_share;
+    rule.duration_s = scenario_.duration_s;
+    int count = scenario_.disturbance == Disturbance::StaleInstanceCount
+                    ? std::max(1, scenario_.instances / 2)
+                    : scenario_.instances;
+    Deployment settings = deployment().with_slow_start(rule).as_instance(index % count, count);
+    Instance instance;
+    instance.host = std::make_unique<FakeHost>(settings, seed_ * 1000 + unsigned(index), start_s);
+    instance.index = index;
+    std::vector<ListEntry> entries;
+    for (int i = 0; i < scenario_.endpoints; ++i) {
+      entries.push_back(endpoint("a" + std::to_string(i)).online_since(i == 0 ? endpoint_started_s_ : 0));
+    }
+    instance.host->list_endpoints(entries);
+    return instance;
+  }
+
+  void start_endpoint() {
+    pass(kSteadyS, kSteadyLoad, Endpoints::Answer);
+    endpoint_started_s_ = now_s();
+    for (Instance& instance : instances_) {
+      instance.host->change_endpoint(endpoint("a0").online_since(endpoint_started_s_));
+    }
+  }
+
+  // A linear congruential generator: the same numbers in each run.
+  unsigned next_random() {
+    random_state_ = random_state_ * 1664525 + 1013904223;
+    return random_state_;
+  }
+
+  // Of the next request, against the mean; 0 where work is not known.
+  double next_relative_work() {
+    if (scenario_.disturbance != Disturbance::UnequalWork) return 0;
+    return next_random() / 7 % 10 == 0 ? 4 : 2.0 / 3;
+  }
+
+  // `load` is a part of what all endpoints together can serve.
+  void pass(double seconds, double load, Endpoints endpoints) {
+    double end_s = now_s() + seconds - kStepS / 2;
+    while (now_s() < end_s) {
+      requests_due_ += load * scenario_.requests_per_endpoint_s * scenario_.endpoints * kStepS;
+      for (; requests_due_ > 0; requests_due_ -= 1) {
+        Instance& instance = instances_[next_random() % instances_.size()];
+        double work_s = next_relative_work() * kMeanWorkS;
+        instance.host->receive(request_of_class("read").due_in(1).with_work(work_s));
+      }
+      if (scenario_.disturbance == Disturbance::Restarts && endpoints == Endpoints::Hang) restart_some();
+      for (Instance& instance : instances_) advance(instance, endpoints);
+    }
+  }
+
+  void advance(Instance& instance, Endpoints endpoints) {
+    FakeHost& host = *instance.host;
+    host.run_for(kStepS);
+    if (endpoints == Endpoints::Hang) return;
+    while (instance.answered < host.sent().size() &&
+           host.sent()[instance.answered].sent_at_s < host.now_s() - kResponseS) {
+      host.end_attempt(host.sent()[instance.answered], Outcome::Delivered);
+      ++instance.answered;
+    }
+  }
+
+  // The share of the instances that restarts within a step.
+  void restart_some() {
+    restarts_due_ += kStepS * double(instances_.size());
+    for (; restarts_due_ >= 1; restarts_due_ -= 1) {
+      Instance& instance = instances_[restarts_ % instances_.size()];
+      ++restarts_;
+      Instance successor = start_instance(instance.index, instance.host->now_s());
+      ended_.push_back(std::move(instance.host));
+      instance = std::move(successor);
+    }
+  }
+
+  void hand_over() {
+    std::size_t predecessors = instances_.size();
+    for (std::size_t i = 0; i < predecessors; ++i) {
+      Instance successor = start_instance(instances_[i].index, now_s());
+      successor.host->import_learned_state_of(*instances_[i].host, 1);
+      instances_.push_back(std::move(successor));
+    }
+  }
+
+  double allowed_in_window(double start_s) const {
+    constexpr double kManyAttempts = 30;
+    double share = scenario_.initial_share +
+                   (1 - scenario_.initial_share) * (start_s - endpoint_started_s_) / scenario_.duration_s;
+    double allowed =
+        kRule.overload_multiple * share * scenario_.requests_per_endpoint_s * kRule.overload_window_s;
+    double deviation = std::sqrt(allowed);
+    return allowed + (allowed < kManyAttempts ? 3 * deviation + 3 : 2 * deviation + 2);
+  }
+
+  // All attempts at the endpoint during its slow start, in the order of their times.
+  std::vector<Arrival> arrivals_at_started_endpoint() const {
+    std::vector<Arrival> arrivals;
+    for (const Instance& instance : instances_) append_arrivals(*instance.host, arrivals);
+    for (const std::unique_ptr<FakeHost>& host : ended_) append_arrivals(*host, arrivals);
+    std::sort(arrivals.begin(), arrivals.end());
+    return arrivals;
+  }
+
+  void append_arrivals(const FakeHost& host, std::vector<Arrival>& arrivals) const {
+    for (const SentAttempt& attempt : host.sent()) {
+      bool in_slow_start = attempt.sent_at_s >= endpoint_started_s_ &&
+                           attempt.sent_at_s < endpoint_started_s_ + scenario_.duration_s;
+      if (attempt.endpoint != "a0" || !in_slow_start) continue;
+      double relative_work = host.work_s_of(attempt.request) / kMeanWorkS;
+      arrivals.push_back({attempt.sent_at_s, relative_work > 0 ? relative_work : 1});
+    }
+  }
+
+  SlowStartScenario scenario_;
+  unsigned seed_ = 0;
+  unsigned random_state_ = 0;
+  double endpoint_started_s_ = 0;
+  double requests_due_ = 0;
+  double restarts_due_ = 0;
+  std::size_t restarts_ = 0;
+  std::vector<Instance> instances_;
+  std::vector<std::unique_ptr<FakeHost>> ended_;
+};
+
+}  // namespace puffinvane::test
--- /dev/null
+++ b/testing/policy/steady_traffic.h
@@ -0,0 +1,91 @@
+// Requests to a policy at an even pace, and endpoints that answer as a function says. Hours pass without
+// waiting: the time is the fake host's.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <functional>
+#include <map>
+
+#include "testing/policy/fake_host.h"
+
+namespace puffinvane::test {
+
+inline constexpr double kIdleHoursS = 8 * 3600;
+
+// How an endpoint answers an attempt.
+struct EndpointAnswer {
+  double response_time_s = 0;  // 0: it never answers
+  Outcome outcome = Outcome::Delivered;
+};
+
+// From 70% to 130% of `mean_s`, by the request: the same in each run.
+inline double spread_response_time_s(const SentAttempt& attempt, double mean_s) {
+  return mean_s * (0.7 + 0.6 * double(attempt.request * 2654435761u % 1000) / 1000);
+}
+
+inline EndpointAnswer usual_answer(const SentAttempt& attempt) {
+  constexpr double kMeanS = 0.2;
+  return {spread_response_time_s(attempt, kMeanS)};
+}
+
+class SteadyTraffic {
+ public:
+  using AnswerFunction = std::function<EndpointAnswer(const SentAttempt&)>;
+
+  explicit SteadyTraffic(FakeHost& host) : host_(host) {}
+
+  // Safe requests that are due in 1 s.
+  void run_for(double seconds, double requests_per_s, const AnswerFunction& answer) {
+    double next_request_s = host_.now_s();
+    double end_s = host_.now_s() + seconds;
+    while (host_.now_s() < end_s) {
+      for (; host_.now_s() >= next_request_s; next_request_s += 1 / requests_per_s) {
+        host_.receive(request_of_class("read").due_in(1));
+      }
+      answer_attempts(answer);
+      host_.run_for(kStepS);
+    }
+  }
+  // No requests for `seconds`, after 5 s in which the pending ones end.
+  void stop_for(double seconds, const AnswerFunction& answer) {
+    double end_s = host_.now_s() + kSettleS;
+    while (host_.now_s() < end_s) {
+      answer_attempts(answer);
+      host_.run_for(kStepS);
+    }
+    host_.run_for(seconds);
+  }
+
+ private:
+  static constexpr double kStepS = 0.002;
+  static constexpr double kSettleS = 5;
+
+  struct DueAnswer {
+    std::size_t attempt = 0;  // index of what the host sent
+    Outcome outcome = Outcome::Delivered;
+  };
+
+  void answer_attempts(const AnswerFunction& answer) {
+    for (; seen_ < host_.sent().size(); ++seen_) {
+      EndpointAnswer next = answer(host_.sent()[seen_]);
+      if (next.response_time_s > 0) {
+        due_.emplace(host_.now_s() + next.response_time_s, DueAnswer{seen_, next.outcome});
+      }
+    }
+    while (!due_.empty() && due_.begin()->first <= host_.now_s()) {
+      DueAnswer next = due_.begin()->second;
+      due_.erase(due_.begin());
+      SentAttempt attempt = host_.sent()[next.attempt];
+      bool is_cancelled =
+          std::ranges::count(host_.cancelled(), CancelledAttempt{attempt.request, attempt.number}) > 0;
+      host_.end_attempt(attempt, is_cancelled ? Outcome::Cancelled : next.outcome);
+    }
+  }
+
+  FakeHost& host_;
+  std::size_t seen_ = 0;  // attempts
+  std::multimap<double, DueAnswer> due_;
+};
+
+}  // namespace puffinvane::test
