--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 lint:
 	clang-format --dry-run -Werror $$(git ls-files '*.h' '*.cpp')
 	cppcheck --quiet -j4 --std=c++20 --language=c++ --inline-suppr --enable=warning,performance,portability \
-	  --suppress=assertWithSideEffect --error-exitcode=1 -I include -I . include src tools testing tests
+	  --library=googletest --suppress=assertWithSideEffect --error-exitcode=1 -I include -I . include src tools testing tests
 
 run: build
 	BALANCER_CONFIG=examples/sidecar.json $(BUILD)/puffinvane
