--- /dev/null
+++ b/src/policy/outlier_ejection_behavior_test.cpp
@@ -0,0 +1,240 @@
+// Which endpoints, and which request classes at an endpoint, are ejected, and how they return.
+#include <gtest/gtest.h>
+
+#include <array>
+#include <cstddef>
+#include <set>
+#include <string>
+
+#include "testing/policy/fake_host.h"
+#include "testing/policy/scenarios.h"
+#include "testing/policy/steady_traffic.h"
+
+namespace puffinvane::test {
+namespace {
+
+constexpr std::array kAllEndpoints = {"a0", "a1", "a2", "a3"};
+
+// Serves `count` requests, with retries; all endpoints but "a0" fail those of the class "read".
+void serve_where_most_fail_reads(FakeHost& host, const std::string& request_class, int count) {
+  for (int i = 0; i < count; ++i) {
+    RequestId request = host.receive(request_of_class(request_class));
+    host.run_for(0.02);
+    while (!host.is_concluded(request)) {
+      bool fails = request_class == "read" && host.last_sent().endpoint != "a0";
+      host.end_attempt(host.last_sent(), fails ? Outcome::Failed : Outcome::Delivered);
+    }
+  }
+}
+
+TEST(OutlierEjection, EjectsEndpointForRequestClassThatItFails) {
+  FakeHost host{deployment().reporting_load()};
+  host.list_ready_endpoints(4);
+  for (int i = 0; i < 10; ++i) {
+    serve_where_most_fail_reads(host, "read", 1);
+    serve_where_most_fail_reads(host, "mutating", 1);
+  }
+  std::size_t sent_before = host.sent().size();
+  double failed_at_s = host.now_s();
+
+  serve_where_most_fail_reads(host, "read", 8);
+
+  EXPECT_GE(host.attempts_sent_to("a0", failed_at_s), 7);
+  EXPECT_LE(host.sent().size() - sent_before, 12U);
+}
+
+TEST(OutlierEjection, KeepsEndpointThatFailsOneRequestClassForOthers) {
+  FakeHost host{deployment().reporting_load()};
+  host.list_ready_endpoints(4);
+  for (int i = 0; i < 10; ++i) {
+    serve_where_most_fail_reads(host, "read", 1);
+    serve_where_most_fail_reads(host, "mutating", 1);
+  }
+  serve_where_most_fail_reads(host, "read", 8);
+  double failed_at_s = host.now_s();
+
+  serve_where_most_fail_reads(host, "mutating", 30);
+
+  EXPECT_GT(host.attempts_sent_to("a1", failed_at_s), 2);
+  EXPECT_GT(host.attempts_sent_to("a2", failed_at_s), 2);
+  EXPECT_GT(host.attempts_sent_to("a3", failed_at_s), 2);
+}
+
+// A stalled process finds all attempts late at once: that says nothing of their endpoints.
+TEST(OutlierEjection, EjectsNoEndpointAfterStallOfOwnProcess) {
+  FakeHost host{deployment().reporting_load()};
+  host.list_ready_endpoints(4);
+  host.serve_requests(60, 0.05);
+  std::size_t first = host.sent().size();
+  host.receive_many(4);
+  host.stall_for(1.2);
+  host.run_for(0.04);
+  for (std::size_t i = first; i < first + 4; ++i) host.end_attempt(host.sent()[i], Outcome::Delivered);
+  double stalled_at_s = host.now_s();
+
+  host.receive_many(8);
+
+  for (const char* name : kAllEndpoints) EXPECT_EQ(host.attempts_sent_to(name, stalled_at_s), 2) << name;
+}
+
+// An endpoint, "a0", that hung until its ejection, has answered late, and is recovering.
+class RecoveryRamp : public testing::Test {
+ protected:
+  RecoveryRamp() {
+    host_.list_ready_endpoints(4);
+    host_.serve_requests(60, 0.05);
+    hung_ = send_attempt_to(host_, "a0", "mutating");
+    host_.serve_requests(20, 0.05);
+    ejected_at_s_ = host_.now_s();
+    host_.serve_requests(4, 0.05);
+  }
+
+  FakeHost host_{deployment().reporting_load()};
+  SentAttempt hung_;
+  double ejected_at_s_ = 0;
+};
+
+TEST_F(RecoveryRamp, UnresponsiveEndpointIsEjected) {
+  EXPECT_EQ(host_.attempts_sent_to("a0", ejected_at_s_), 0);
+}
+
+TEST_F(RecoveryRamp, DoublesAttemptsInFlightWithEachGoodAnswer) {
+  constexpr std::size_t kRequests = 20;
+  host_.end_attempt(hung_, Outcome::Delivered);
+
+  for (int allowed : {1, 2, 4}) {
+    std::size_t first = host_.sent().size();
+    double round_began_s = host_.now_s();
+    host_.receive_many(kRequests);
+
+    EXPECT_EQ(host_.attempts_sent_to("a0", round_began_s), allowed);
+
+    // One answer of the recovering endpoint is good; the other attempts there are cancelled.
+    host_.run_for(0.05);
+    bool has_good_answer = false;
+    for (std::size_t i = first; i < first + kRequests; ++i) {
+      bool is_recovering = host_.sent()[i].endpoint == "a0";
+      if (!is_recovering || !has_good_answer) host_.end_attempt(host_.sent()[i], Outcome::Delivered);
+      has_good_answer = has_good_answer || is_recovering;
+    }
+    for (std::size_t i = first; i < first + kRequests; ++i) {
+      if (host_.sent()[i].endpoint == "a0") host_.end_attempt(host_.sent()[i], Outcome::Cancelled);
+    }
+  }
+}
+
+// Serves requests for `seconds`, with retries, and returns how many attempts went to "a0", which refuses
+// connections if `a0` is ConnectFailed.
+int serve_and_count_attempts_to_a0(FakeHost& host, double seconds, Outcome a0) {
+  constexpr int kMostAttempts = 4;
+  int attempts_to_a0 = 0;
+  double end_s = host.now_s() + seconds;
+  while (host.now_s() < end_s) {
+    RequestId request = host.receive();
+    for (int i = 0; i < kMostAttempts && !host.is_concluded(request); ++i) {
+      SentAttempt attempt = host.last_sent();
+      bool is_a0 = attempt.endpoint == "a0";
+      attempts_to_a0 += is_a0 ? 1 : 0;
+      host.run_for(0.02);
+      host.end_attempt(attempt, is_a0 ? a0 : Outcome::Delivered);
+    }
+    host.run_for(0.05);
+  }
+  return attempts_to_a0;
+}
+
+TEST(OutlierEjection, TestsEndpointLaterIfItsLastAbsencesWereLong) {
+  FakeHost host{deployment()};
+  host.list_ready_endpoints(4);
+  serve_and_count_attempts_to_a0(host, 5, Outcome::Delivered);
+
+  std::array<int, 4> attempts_in_absence{};
+  for (int& attempts : attempts_in_absence) {
+    attempts = serve_and_count_attempts_to_a0(host, 3, Outcome::ConnectFailed);
+    serve_and_count_attempts_to_a0(host, 5, Outcome::ConnectFailed);
+    serve_and_count_attempts_to_a0(host, 12, Outcome::Delivered);
+  }
+
+  EXPECT_GE(attempts_in_absence[0], 2);
+  EXPECT_EQ(attempts_in_absence[3], 1);
+}
+
+TEST(OutlierEjection, EjectsNoEndpointForIdleConnectionsFoundClosed) {
+  FakeHost host{deployment()};
+  host.list_ready_endpoints(4);
+  host.serve_requests(40, 0.05);
+  for (int i = 0; i < 40; ++i) {
+    RequestId request = host.receive();
+    host.end_attempt(host.last_sent(), Outcome::Stale);
+    ASSERT_EQ(host.attempt_count(request), 2);
+    host.run_for(0.05);
+    host.end_attempt(host.last_sent(), Outcome::Delivered);
+  }
+  std::size_t sent_before = host.sent().size();
+
+  host.serve_requests(40, 0.05);
+
+  EXPECT_EQ(host.endpoints_used_from(sent_before).size(), 4U);
+}
+
+TEST(OutlierEjection, NeverEjectsMoreThanHalfOfEndpoints) {
+  FakeHost host{deployment()};
+  host.list_ready_endpoints(4);
+
+  for (int i = 0; i < 40; ++i) {
+    host.receive(request_of_class("mutating").due_in(1));
+    bool was_sent = !host.sent().empty() && host.last_sent().sent_at_s == host.now_s();
+    if (was_sent) host.end_attempt(host.last_sent(), Outcome::Broken);
+    host.run_for(0.02);
+  }
+
+  std::set<std::string> used_lately;
+  for (const SentAttempt& attempt : host.sent()) {
+    if (attempt.sent_at_s > host.now_s() - 0.5) used_lately.insert(attempt.endpoint);
+  }
+  EXPECT_GE(used_lately.size(), 2U);
+}
+
+// Errors that all endpoints return come from what they share, behind them.
+TEST(OutlierEjection, EjectsNoEndpointForErrorsThatAllReturn) {
+  FakeHost host{deployment()};
+  host.list_ready_endpoints(4);
+  for (int i = 0; i < 80; ++i) {
+    host.receive(request_of_class("mutating"));
+    host.run_for(0.02);
+    host.end_attempt(host.last_sent(), i % 2 == 1 ? Outcome::Failed : Outcome::Delivered);
+  }
+  double failed_at_s = host.now_s();
+
+  host.receive_many(4);
+
+  for (const char* name : kAllEndpoints) EXPECT_EQ(host.attempts_sent_to(name, failed_at_s), 1) << name;
+}
+
+// The requests lost in 8 s during which one endpoint of four hangs, after 30 s of traffic and `idle_s`
+// without any.
+std::size_t requests_lost_to_hanging_endpoint(double idle_s) {
+  auto answer = [](const SentAttempt& attempt) {
+    return attempt.endpoint == "a0" ? EndpointAnswer{0.9, Outcome::TimedOut} : usual_answer(attempt);
+  };
+  FakeHost host{deployment().with_latency_objective(0.5)};
+  host.list_ready_endpoints(4);
+  SteadyTraffic traffic(host);
+  traffic.run_for(30, 100, usual_answer);
+  if (idle_s > 0) traffic.stop_for(idle_s, usual_answer);
+  std::size_t lost_before = host.rejected().size() + host.failed().size();
+  traffic.run_for(8, 100, answer);
+  return host.rejected().size() + host.failed().size() - lost_before;
+}
+
+TEST(OutlierEjection, HangingEndpointCostsNoMoreAfterHoursWithoutRequests) {
+  constexpr std::size_t kTolerance = 8;
+
+  std::size_t lost_after_traffic = requests_lost_to_hanging_endpoint(0);
+  std::size_t lost_after_idle_hours = requests_lost_to_hanging_endpoint(kIdleHoursS);
+
+  EXPECT_LE(lost_after_idle_hours, lost_after_traffic + kTolerance);
+}
+
+}  // namespace
+}  // namespace puffinvane::test
--- /dev/null
+++ b/src/policy/slow_start_behavior_test.cpp
@@ -0,0 +1,134 @@
+// Rule 4: an endpoint that has just started gets a growing share of a warm one's attempts, and all instances
+// together never overload it.
+#include <gtest/gtest.h>
+
+#include <array>
+#include <string>
+
+#include "testing/policy/fake_host.h"
+#include "testing/policy/slow_start_fleet.h"
+
+namespace puffinvane::test {
+namespace {
+
+TEST(SlowStart, AllInstancesTogetherSendFreshEndpointLessThanWarmOne) {
+  constexpr int kInstances = 6;
+  int fresh_in_first_second = 0;
+  int fresh = 0;
+  int warm = 0;
+
+  for (int index = 0; index < kInstances; ++index) {
+    FakeHost host{deployment().as_instance(index, kInstances), unsigned(index)};
+    host.list_ready_endpoints(4);
+    host.serve_requests(200, 0.02);
+    host.change_endpoint(endpoint("a0").online_since(host.now_s()));
+    double started_at_s = host.now_s();
+    host.serve_requests(50, 0.02);
+    fresh_in_first_second += host.attempts_sent_to("a0", started_at_s);
+    host.serve_requests(50, 0.02);
+    fresh += host.attempts_sent_to("a0", started_at_s);
+    warm += host.attempts_sent_to("a1", started_at_s);
+  }
+
+  // The share begins at 0.2 and has grown to 0.36 after 2 of 10 s.
+  EXPECT_GT(fresh, 0);
+  EXPECT_LT(fresh, warm * 0.45);
+  EXPECT_LT(fresh_in_first_second, warm / 2 * 0.45);
+}
+
+TEST(SlowStart, InstanceThatHasJustStartedKeepsToBudget) {
+  FakeHost host{deployment().as_instance(0, 2)};
+  host.list_endpoints({endpoint("warm"), endpoint("cold").online_since(host.now_s() - 0.5)});
+
+  host.serve_requests(50, 0.02);
+
+  EXPECT_LT(host.attempts_sent_to("cold"), 0.45 * host.attempts_sent_to("warm"));
+}
+
+TEST(SlowStart, EndpointsThatAllHaveJustStartedGetAttempts) {
+  FakeHost host{deployment()};
+  double started_at_s = host.now_s() - 1;
+  host.list_endpoints({endpoint("a0").online_since(started_at_s), endpoint("a1").online_since(started_at_s)});
+
+  for (int i = 0; i < 30; ++i) {
+    host.receive();
+    host.run_for(0.1);
+  }
+
+  EXPECT_GE(host.sent().size(), 2U);
+  EXPECT_LT(host.sent().size(), 10U);
+}
+
+// However many instances share the endpoint, and whatever budget they saved in a pause: in the burst, while
+// the warm endpoints hang, no window holds more work than the rule allows.
+class SlowStartBurst : public testing::TestWithParam<Disturbance> {};
+
+TEST_P(SlowStartBurst, StaysWithinRuleForSumOfAllInstances) {
+  constexpr unsigned kSeed = 8;
+  const std::array kRules = {
+      SlowStartScenario{
+          .endpoints = 7, .requests_per_endpoint_s = 50, .initial_share = 0.2, .duration_s = 10},
+      SlowStartScenario{
+          .endpoints = 3, .requests_per_endpoint_s = 60, .initial_share = 0.12, .duration_s = 23},
+      SlowStartScenario{
+          .endpoints = 40, .requests_per_endpoint_s = 8, .initial_share = 0.2, .duration_s = 10},
+  };
+  for (SlowStartScenario scenario : kRules) {
+    for (int instances : {1, 5, 30, 100, 300, 900}) {
+      for (TrafficBeforeBurst traffic : {TrafficBeforeBurst::None, TrafficBeforeBurst::Steady}) {
+        scenario.instances = instances;
+        scenario.traffic = traffic;
+        scenario.pause_s = traffic == TrafficBeforeBurst::None ? 4 : 8;
+        scenario.disturbance = GetParam();
+        SlowStartFleet fleet(scenario, kSeed);
+
+        fleet.run_burst();
+
+        EXPECT_LE(fleet.worst_excess(), 0) << instances << " instances, " << scenario.endpoints
+                                           << " endpoints, pause of " << scenario.pause_s << " s";
+      }
+    }
+  }
+}
+
+std::string name_of(const testing::TestParamInfo<Disturbance>& info) {
+  switch (info.param) {
+    case Disturbance::None: return "Undisturbed";
+    case Disturbance::StaleInstanceCount: return "StaleInstanceCount";
+    case Disturbance::HotRestarts: return "HotRestarts";
+    case Disturbance::Restarts: return "Restarts";
+    case Disturbance::UnequalWork: return "UnequalWork";
+  }
+  return "Unknown";
+}
+
+INSTANTIATE_TEST_SUITE_P(SlowStart, SlowStartBurst,
+                         testing::Values(Disturbance::None, Disturbance::StaleInstanceCount,
+                                         Disturbance::HotRestarts, Disturbance::Restarts,
+                                         Disturbance::UnequalWork),
+                         name_of);
+
+// The budget may not be so small that the endpoint never gets its share in steady traffic.
+TEST(SlowStart, EndpointGetsItsShareHoweverThinTheTraffic) {
+  constexpr unsigned kSeeds = 4;
+  struct Expectation {
+    int instances;
+    double least_share;
+  };
+  // With 56 requests a second over 300 instances, most see none between two attempts that are theirs.
+  for (Expectation expected :
+       {Expectation{1, 0.9}, Expectation{5, 0.9}, Expectation{30, 0.8}, Expectation{300, 0.08}}) {
+    double mean_share = 0;
+
+    for (unsigned seed = 0; seed < kSeeds; ++seed) {
+      SlowStartScenario scenario{
+          .instances = expected.instances, .endpoints = 7, .requests_per_endpoint_s = 8};
+      mean_share += SlowStartFleet(scenario, seed).run_steady() / kSeeds;
+    }
+
+    EXPECT_GE(mean_share, expected.least_share) << expected.instances << " instances";
+  }
+}
+
+}  // namespace
+}  // namespace puffinvane::test
