--- /dev/null
+++ b/src/policy/retry_safety_test.cpp
@@ -0,0 +1,123 @@
+#include "src/policy/retry_safety.h"
+
+#include <gtest/gtest.h>
+
+#include "testing/policy/builders.h"
+
+namespace puffinvane {
+namespace {
+
+constexpr std::size_t kSafe = 0;
+constexpr std::size_t kKeyedInZone = 1;
+constexpr std::size_t kKeyedEverywhere = 2;
+constexpr std::size_t kKeyedInCell = 3;
+constexpr std::size_t kUnsafe = 4;
+constexpr double kSentAt = 100;
+
+class RetrySafetyTest : public testing::Test {
+ protected:
+  RetrySafetyTest() {
+    endpoint_.zone = "here";
+    endpoint_.cell = 1;
+  }
+  static RequestState request_of(std::size_t class_index) {
+    RequestState request;
+    request.class_index = class_index;
+    return request;
+  }
+  // With one attempt, to the zone "here" and cell 1, that is over and may have run.
+  static RequestState lost(std::size_t class_index) {
+    RequestState request = request_of(class_index);
+    Attempt attempt;
+    attempt.sent_at = kSentAt;
+    attempt.is_in_flight = false;
+    attempt.zone = "here";
+    attempt.cell = 1;
+    request.attempts.push_back(attempt);
+    return request;
+  }
+  static RequestState never_ran(std::size_t class_index) {
+    RequestState request = lost(class_index);
+    request.attempts.back().may_have_run = false;
+    return request;
+  }
+
+  // Keyed requests are remembered for 1 s, less the connect timeout of 0.25 s and two round trips of 0.005 s.
+  Deployment deployment_ = test::deployment();
+  RetrySafety safety_{deployment_};
+  Endpoint endpoint_;
+};
+
+TEST_F(RetrySafetyTest, EveryRequestMayHaveItsFirstAttempt) {
+  for (std::size_t class_index : {kSafe, kKeyedInZone, kUnsafe}) {
+    EXPECT_TRUE(safety_.may_attempt(request_of(class_index), endpoint_, kSentAt));
+  }
+}
+
+TEST_F(RetrySafetyTest, AnUnsafeRequestThatMayHaveRunIsNotRetried) {
+  EXPECT_FALSE(safety_.may_attempt(lost(kUnsafe), endpoint_, kSentAt));
+  EXPECT_TRUE(safety_.may_attempt(lost(kSafe), endpoint_, kSentAt));
+}
+
+TEST_F(RetrySafetyTest, AnUnsafeRequestThatCannotHaveRunIsRetried) {
+  EXPECT_TRUE(safety_.may_attempt(never_ran(kUnsafe), endpoint_, kSentAt));
+}
+
+TEST_F(RetrySafetyTest, AKeyedRequestIsRetriedWithinItsWindow) {
+  EXPECT_TRUE(safety_.may_attempt(lost(kKeyedEverywhere), endpoint_, kSentAt + 0.73));
+  EXPECT_FALSE(safety_.may_attempt(lost(kKeyedEverywhere), endpoint_, kSentAt + 0.75));
+}
+
+TEST_F(RetrySafetyTest, AKeyedRequestStaysInItsGroup) {
+  Endpoint elsewhere;
+  elsewhere.zone = "there";
+  elsewhere.cell = 2;
+
+  EXPECT_TRUE(safety_.may_attempt(lost(kKeyedInZone), endpoint_, kSentAt));
+  EXPECT_FALSE(safety_.may_attempt(lost(kKeyedInZone), elsewhere, kSentAt));
+  EXPECT_FALSE(safety_.may_attempt(lost(kKeyedInCell), elsewhere, kSentAt));
+  EXPECT_TRUE(safety_.may_attempt(lost(kKeyedEverywhere), elsewhere, kSentAt));
+}
+
+TEST_F(RetrySafetyTest, ASecondAttemptNeedsParallelAttempts) {
+  RequestState request = lost(kSafe);
+  request.attempts.back().is_in_flight = true;
+  EXPECT_TRUE(safety_.may_attempt(request, endpoint_, kSentAt));
+
+  deployment_.parallel_attempts = false;
+
+  EXPECT_FALSE(safety_.may_attempt(request, endpoint_, kSentAt));
+}
+
+TEST_F(RetrySafetyTest, AttemptsAreLimited) {
+  RequestState request = never_ran(kSafe);
+  request.attempts.resize(4, request.attempts.front());
+
+  EXPECT_FALSE(safety_.may_attempt(request, endpoint_, kSentAt));
+}
+
+TEST_F(RetrySafetyTest, OnlyAKeyedRequestThatMayHaveRunRepeatsAnEndpoint) {
+  EXPECT_TRUE(safety_.may_repeat_endpoint(lost(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_repeat_endpoint(never_ran(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_repeat_endpoint(lost(kSafe)));
+}
+
+TEST_F(RetrySafetyTest, RejectsOnlyWhatDoesNoHarmAgain) {
+  EXPECT_TRUE(safety_.may_reject(lost(kSafe)));
+  EXPECT_TRUE(safety_.may_reject(lost(kKeyedEverywhere)));
+  EXPECT_FALSE(safety_.may_reject(lost(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_reject(lost(kUnsafe)));
+  EXPECT_TRUE(safety_.may_reject(never_ran(kUnsafe)));
+}
+
+TEST_F(RetrySafetyTest, TwoLostAttemptsThatMayHaveRunAreSuspect) {
+  RequestState request = lost(kSafe);
+  EXPECT_FALSE(RetrySafety::is_suspect(request));
+
+  request.attempts.push_back(request.attempts.front());
+
+  EXPECT_TRUE(RetrySafety::is_suspect(request));
+}
+
+}  // namespace
+}  // namespace puffinvane
