--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <ctime>
+#include <utility>
 
 namespace puffinvane {
 
@@ -9,55 +10,112 @@
 
 namespace {
 
-std::string text(element entry, std::string_view key, bool needed) {
+std::optional<std::string> text_of(element entry, std::string_view key) {
   std::string_view found;
-  if (entry[key].get(found) && needed) throw Malformed("a list entry lacks " + std::string(key));
+  if (entry[key].get(found)) return std::nullopt;
   return std::string(found);
 }
 
-double number(element entry, std::string_view key, double fallback) {
-  double found;
+double number_of(element entry, std::string_view key, double fallback) {
+  double found = 0;
   return entry[key].get(found) ? fallback : found;
 }
 
+std::optional<ListedState> state_of(std::string_view status) {
+  if (status == "active") return ListedState::Ready;
+  if (status == "leaving") return ListedState::Draining;
+  if (status == "left") return ListedState::Removed;
+  return std::nullopt;
+}
+
+ListError missing_entry_field(std::string_view key) {
+  return {ListFault::MissingEntryField, std::string(key)};
+}
+
+// Appends one entry to `list`; nothing is appended on an error.
+std::optional<ListError> parse_entry(element json, EndpointList& list) {
+  std::optional<std::string> name = text_of(json, "name");
+  if (!name) return missing_entry_field("name");
+  std::optional<std::string> status = text_of(json, "status");
+  if (!status) return missing_entry_field("status");
+  std::optional<ListedState> state = state_of(*status);
+  if (!state) return ListError{ListFault::UnknownStatus, *status};
+  std::optional<std::string> address = text_of(json, "address");
+  if (!address && *state != ListedState::Removed) return missing_entry_field("address");
+
+  ListEntry entry;
+  entry.endpoint = std::move(*name);
+  entry.zone = text_of(json, "zone").value_or("");
+  entry.state = *state;
+  if (json["group"].get(entry.cell)) entry.cell = 0;
+  entry.weight = number_of(json, "weight", 1);
+  if (!(entry.weight > 0)) entry.weight = 1;
+  list.entries.push_back(std::move(entry));
+  list.addresses.push_back(address.value_or(""));
+  list.stated_start_ms.push_back(std::max(0.0, number_of(json, "since_ms", 0)));
+  return std::nullopt;
+}
+
 }  // namespace
 
-EndpointList read_list(element list) {
-  EndpointList read;
+std::string_view name_of(ListFault fault) {
+  switch (fault) {
+    case ListFault::InvalidJson: return "invalid_json";
+    case ListFault::MissingListField: return "missing_list_field";
+    case ListFault::MissingEntryField: return "missing_entry_field";
+    case ListFault::UnknownStatus: return "unknown_status";
+    case ListFault::IndexWentBack: return "index_went_back";
+    case ListFault::EmptySnapshot: return "empty_snapshot";
+    case ListFault::TooLong: return "too_long";
+    case ListFault::CutOff: return "cut_off";
+  }
+  return "unknown";
+}
+
+std::string describe(const ListError& error) {
+  switch (error.what) {
+    case ListFault::InvalidJson: return "not JSON: " + error.where;
+    case ListFault::MissingListField: return "a list has no " + error.where;
+    case ListFault::MissingEntryField: return "a list entry lacks " + error.where;
+    case ListFault::UnknownStatus: return "a list entry has the unknown status " + error.where;
+    case ListFault::IndexWentBack: return "the index of the list is lower than before";
+    case ListFault::EmptySnapshot: return "the list of all endpoints is empty";
+    case ListFault::TooLong: return "the list is longer than the limit";
+    case ListFault::CutOff: return "the list ends before its closing brace";
+  }
+  return "unknown fault of a list";
+}
+
+ListResult parse_endpoint_list(element json) {
+  EndpointList list;
   simdjson::dom::array entries;
-  if (list["index"].get(read.index)) throw Malformed("a list has no index");
-  if (list["endpoints"].get(entries)) throw Malformed("a list has no endpoints");
-  if (list["snapshot"].get(read.whole)) read.whole = false;
-  for (element one : entries) {
-    ListEntry entry;
-    entry.endpoint = text(one, "name", true);
-    entry.zone = text(one, "zone", false);
-    std::string status = text(one, "status", true);
-    if (status != "active" && status != "leaving" && status != "left")
-      throw Malformed("a list entry has the unknown status " + status);
-    entry.state = status == "active"    ? ListedState::Ready
-                  : status == "leaving" ? ListedState::Draining
-                                        : ListedState::Removed;
-    if (one["group"].get(entry.cell)) entry.cell = 0;
-    entry.weight = number(one, "weight", 1);
-    if (!(entry.weight > 0)) entry.weight = 1;
-    read.since_ms.push_back(std::max(0.0, number(one, "since_ms", 0)));
-    read.addresses.push_back(text(one, "address", entry.state != ListedState::Removed));
-    read.entries.push_back(std::move(entry));
+  if (json["index"].get(list.index)) return ListError{ListFault::MissingListField, "index"};
+  if (json["endpoints"].get(entries)) return ListError{ListFault::MissingListField, "endpoints"};
+  if (json["snapshot"].get(list.is_snapshot)) list.is_snapshot = false;
+  for (element entry : entries) {
+    if (std::optional<ListError> error = parse_entry(entry, list)) return *error;
   }
-  return read;
+  return list;
 }
 
-EndpointList ListReader::read(std::string_view line) {
-  simdjson::dom::parser large;
-  element list;
-  simdjson::dom::parser& parser = line.size() > kKept ? large : parser_;
-  if (auto fault = parser.parse(line.data(), line.size()).get(list))
-    throw Malformed(std::string("not JSON: ") + simdjson::error_message(fault));
-  return read_list(list);
+ListResult parse_endpoint_list(std::string_view text) { return ListParser().parse(text); }
+
+EndpointList read_endpoint_list(element json) {
+  ListResult result = parse_endpoint_list(json);
+  if (const ListError* error = std::get_if<ListError>(&result)) throw Malformed(describe(*error));
+  return std::get<EndpointList>(std::move(result));
 }
 
-std::optional<double> read_date(std::string_view date) {
+ListResult ListParser::parse(std::string_view text) {
+  simdjson::dom::parser temporary;
+  simdjson::dom::parser& parser = text.size() > kMaxRetainedBytes ? temporary : parser_;
+  element json;
+  simdjson::error_code error = parser.parse(text.data(), text.size()).get(json);
+  if (error) return ListError{ListFault::InvalidJson, simdjson::error_message(error)};
+  return parse_endpoint_list(json);
+}
+
+std::optional<double> parse_http_date(std::string_view date) {
   std::string text(date);
   std::tm parts{};
   const char* end = strptime(text.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &parts);
@@ -65,26 +123,4 @@
   return double(timegm(&parts));
 }
 
-EndpointList read_list(std::string_view line) { return ListReader().read(line); }
-
-bool Lines::next(std::string& line) {
-  for (; seen_ < held_.size(); ++seen_) {
-    char one = held_[seen_];
-    if (one == '\n') {
-      broken_off_ = depth_ > 0 && !quoted_;  // no text goes over a line's end
-      if (broken_off_) continue;
-      line = held_.substr(0, seen_);
-      held_.erase(0, seen_ + 1);
-      seen_ = 0, depth_ = 0, quoted_ = escaped_ = false;
-      return true;
-    }
-    if (escaped_) escaped_ = false;
-    else if (one == '\\') escaped_ = quoted_;
-    else if (one == '"') quoted_ = !quoted_;
-    else if (!quoted_ && (one == '{' || one == '[')) ++depth_;
-    else if (!quoted_ && (one == '}' || one == ']')) --depth_;
-  }
-  return false;
-}
-
 }  // namespace puffinvane
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,4 +1,5 @@
-// Discovery's lists, as JSON: whole, or what changed since the one before.
+// The endpoint lists of the discovery service: their types, their JSON form and what can be wrong with it.
+// Splitting a watch into lists (list_splitter.h) and following it (discovery_watch.h) are not done here.
 #pragma once
 
 #include <simdjson.h>
@@ -7,57 +8,70 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 #include "src/config/settings/deployment.h"
 
 namespace puffinvane {
 
+// How lists reach this process: the agent of this machine pushes them and answers a call at once and at no
+// cost, or each call is work for one discovery that answers all.
+enum class DiscoveryMode { Pushed, OnRequest };
+
+// One list: all endpoints (a snapshot), or those that changed after an earlier index.
 struct EndpointList {
-  std::int64_t index = 0;
-  bool whole = false;
-  std::vector<ListEntry> entries;
-  std::vector<std::string> addresses;  // one for each entry
-  std::vector<double> since_ms =
-      {};               // one for each entry: its start as it was stated, 0: long ago or not stated
-  double heard_at = 0;  // by the monotonic clock; 0: not known
-  bool timed = false;   // online_since of its entries is known already
+  std::int64_t index = 0;  // grows with each change that discovery makes
+  bool is_snapshot = false;
+  std::vector<ListEntry> entries;       // online_since_s is set by EndpointStarts
+  std::vector<std::string> addresses;   // one for each entry
+  std::vector<double> stated_start_ms;  // one for each entry, Unix time; 0: long ago, or not stated
+  double received_at_s = 0;             // monotonic; 0: not known
+  bool has_start_times = false;         // online_since_s of the entries is set
 };
 
-// online_since of its entries is for EndpointStarts to tell.
-EndpointList read_list(simdjson::dom::element list);
-EndpointList read_list(std::string_view line);
+// What makes a list unusable. The first four come from its text, the others from how it follows on others.
+enum class ListFault {
+  InvalidJson,
+  MissingListField,
+  MissingEntryField,
+  UnknownStatus,
+  IndexWentBack,
+  EmptySnapshot,
+  TooLong,
+  CutOff
+};
 
-// An HTTP date, in Unix time; none: not to be understood.
-std::optional<double> read_date(std::string_view date);
+struct ListError {
+  ListFault what = ListFault::InvalidJson;
+  std::string where;  // the field, the status or the parser's message; empty where `what` says all
+};
 
-// Reads one list after the other with what the last one needed, but for a long one: that memory is given
-// back.
-class ListReader {
- public:
-  EndpointList read(std::string_view line);
+using ListResult = std::variant<EndpointList, ListError>;
 
- private:
-  static constexpr std::size_t kKept = 64 * 1024;  // bytes of a list
-  simdjson::dom::parser parser_;
-};
+// The name of a fault in log events, as "missing_entry_field".
+std::string_view name_of(ListFault fault);
+// One line for people.
+std::string describe(const ListError& error);
+
+// Reads one list (protocol: "The registry"). Fails where a field is missing or a status unknown.
+ListResult parse_endpoint_list(simdjson::dom::element list);
+ListResult parse_endpoint_list(std::string_view text);
+
+// The same for readers of settings: throws Malformed with describe() of the error.
+EndpointList read_endpoint_list(simdjson::dom::element list);
 
-// A watch's lines as they come: it holds back what has no end yet. A list may be indented over several: its
-// line ends where its braces are closed.
-class Lines {
+// Unix time in seconds of an HTTP date ("Tue, 14 Nov 2023 22:13:20 GMT"); none if `date` is not one.
+std::optional<double> parse_http_date(std::string_view date);
+
+// Parses one list after the other in memory that is used again, except for long lists: theirs is released.
+class ListParser {
  public:
-  static constexpr std::size_t kMost = 8 << 20;  // no list is longer: an endless line must not eat the memory
-  void add(std::string_view bytes) { held_ += bytes; }
-  bool next(std::string& line);
-  bool too_long() const { return held_.size() > kMost; }
-  bool started() const { return depth_ > 0; }      // some of a list has come
-  bool unfinished() const { return broken_off_; }  // a list whose first lines have come and whose end has not
+  ListResult parse(std::string_view text);
 
  private:
-  std::string held_;
-  std::size_t seen_ = 0;
-  int depth_ = 0;
-  bool quoted_ = false, escaped_ = false, broken_off_ = false;
+  static constexpr std::size_t kMaxRetainedBytes = 64 * 1024;
+  simdjson::dom::parser parser_;
 };
 
 }  // namespace puffinvane
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -79,19 +79,20 @@
   if (state_ == State::Connecting) return kConnect;
   // A priced call waits for its turn, which says nothing of how long a list takes.
   if (state_ == State::Asked)
-    return (asking_ == Asking::Free && whole_call_) || lines_.started() ? std::max(first(), read_timeout_)
-                                                                        : first();
+    return (asking_ == Asking::Free && whole_call_) || lines_.has_partial_list()
+               ? std::max(first(), read_timeout_)
+               : first();
   if (asking_ == Asking::Priced) return kSilence;
   double renewed = whole_call_ || whole_at_ >= since_ ? kRenewWhole : kRenew;
-  return lines_.started() ? std::max(renewed, read_timeout_) : renewed;
+  return lines_.has_partial_list() ? std::max(renewed, read_timeout_) : renewed;
 }
 
 // What a list is still coming for when its time is over has longer the next time.
 void DiscoveryWatch::renew() {
   // It was asked what had changed by then, and its answer began and told nothing.
-  bool nothing = asking_ == Asking::Free && !whole_call_ && !answered_ && !lines_.started();
+  bool nothing = asking_ == Asking::Free && !whole_call_ && !answered_ && !lines_.has_partial_list();
   if (nothing) starts_.hear_no_change(since_);
-  if (asking_ == Asking::Free && lines_.started()) bear_more(kRenew);
+  if (asking_ == Asking::Free && lines_.has_partial_list()) bear_more(kRenew);
   open();
 }
 
@@ -112,7 +113,7 @@
   state_ = State::Connecting;
   heard();
   tcp_.close();
-  reader_.take(), lines_ = Lines();
+  reader_.take(), lines_ = ListSplitter();
   date_offset_.reset();
   if (tcp_.connect(address_) != TcpConnection::ConnectStart::Begun) turn(Input::Ended);
 }
@@ -154,7 +155,7 @@
 }
 
 void DiscoveryWatch::back_off_and_allow_longer() {
-  if (lines_.started()) bear_more(first());
+  if (lines_.has_partial_list()) bear_more(first());
   else unanswered_ = true;
   // An agent that was silent tells what it has the moment that it can, to whom it finds there, and that
   // counts at once: there is little more than a drain's grace to lose.
@@ -214,19 +215,22 @@
     confirmed_ = index_, complained_ = false;
     return true;
   }
-  EndpointList list = lists_.read(line);
+  ListResult result = lists_.parse(line);
+  if (const ListError* error = std::get_if<ListError>(&result))
+    return not_understood(describe(*error).c_str()), false;
+  EndpointList list = std::get<EndpointList>(std::move(result));
   // A discovery that has lost its list, or its count of changes, tells nothing of who is there.
-  if (!list.whole && list.index < index_) return not_understood("the index went back"), false;
-  if (list.whole && list.entries.empty() && !std::exchange(emptied_, true))
+  if (!list.is_snapshot && list.index < index_) return not_understood("the index went back"), false;
+  if (list.is_snapshot && list.entries.empty() && !std::exchange(emptied_, true))
     return not_understood("the whole list is empty"), false;
-  if (list.whole && !list.entries.empty()) emptied_ = false;
-  if (list.whole || (answer && whole_call_)) note_all(line);
+  if (list.is_snapshot && !list.entries.empty()) emptied_ = false;
+  if (list.is_snapshot || (answer && whole_call_)) note_all(line);
   else if (!list.entries.empty()) held_.reset();
   // The first line of a call says all that changed after what was asked for. What its watch tells later on is
   // held but not taken for all: the next call asks for it once more.
-  if (list.whole || answer) confirmed_ = list.index;
+  if (list.is_snapshot || answer) confirmed_ = list.index;
   index_ = list.index, listed_ = true, complained_ = false;
-  list.heard_at = loop_.now();
+  list.received_at_s = loop_.now();
   starts_.hear(list, offsets());
   owner_.on_list(list);
   return true;
@@ -246,7 +250,7 @@
 // Once for each call: the date is of when its answer began.
 void DiscoveryWatch::note_date() {
   if (date_offset_) return;
-  if (std::optional<double> date = read_date(reader_.message().header("Date")))
+  if (std::optional<double> date = parse_http_date(reader_.message().header("Date")))
     date_offset_ = *date - loop_.now();
 }
 
@@ -264,20 +268,17 @@
   if (answers) {
     note_date();
     if (asking_ == Asking::Free && !whole_call_) turn(Input::Heard);
-    lines_.add(reader_.take_body());
+    lines_.append(reader_.take_body());
   }
-  std::string line;
-  while ((state_ == State::Asked || state_ == State::Listening) && lines_.next(line)) {
-    try {
-      if (!follow(line)) return;
-    } catch (const Malformed& fault) {
-      return not_understood(fault.what());
-    }
+  while (state_ == State::Asked || state_ == State::Listening) {
+    std::optional<std::string> line = lines_.take_line();
+    if (!line) break;
+    if (!follow(*line)) return;
   }
-  if (lines_.too_long()) return not_understood("a list of more bytes than are read");
-  if (lines_.unfinished() && !reader_.whole()) {
+  if (lines_.exceeds_size_limit()) return not_understood("a list of more bytes than are read");
+  if (lines_.ends_inside_list() && !reader_.whole()) {
     loop_.at(bytes_at_ + kBrokenOff, alive_.guard([this, since = bytes_at_] {
-      if (bytes_at_ == since && lines_.unfinished()) not_understood("a list broke off");
+      if (bytes_at_ == since && lines_.ends_inside_list()) not_understood("a list broke off");
     }));
   }
   if (reader_.whole()) turn(Input::Ended);
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -15,6 +15,7 @@
 #include "puffinvane/table.h"
 #include "src/discovery/discovery.h"
 #include "src/discovery/endpoint_starts.h"
+#include "src/discovery/list_splitter.h"
 #include "src/http/http.h"
 #include "src/net/tcp_connection.h"
 
@@ -82,8 +83,8 @@
   pcg32 chance_;
   TcpConnection tcp_;
   HttpReader reader_;
-  Lines lines_;
-  ListReader lists_;
+  ListSplitter lines_;
+  ListParser lists_;
   State state_ = State::BackingOff;
   double since_ = 0;         // that its state, or a watch's last whole line, has lasted
   double read_timeout_ = 0;  // that a list may take, going by the last one
--- a/src/discovery/endpoint_starts.cpp
+++ b/src/discovery/endpoint_starts.cpp
@@ -19,19 +19,19 @@
 }  // namespace
 
 void EndpointStarts::hear(EndpointList& list, const ClockOffsets& offsets) {
-  double offset = offset_of_stamps(list, list.heard_at, offsets);
-  Bounds known_names{heard_at_.value_or(Bounds().absent_until), list.heard_at};
-  Bounds new_names{absent_until(list), list.heard_at};
+  double offset = offset_of_stamps(list, list.received_at_s, offsets);
+  Bounds known_names{heard_at_.value_or(Bounds().absent_until), list.received_at_s};
+  Bounds new_names{absent_until(list), list.received_at_s};
   ++lists_;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry& entry = list.entries[i];
     const Bounds& bounds = starts_.contains(entry.endpoint) ? known_names : new_names;
-    entry.online_since_s = judge(entry.endpoint, list.since_ms[i], bounds, offset);
+    entry.online_since_s = judge(entry.endpoint, list.stated_start_ms[i], bounds, offset);
     if (entry.state == ListedState::Removed) unlist(entry.endpoint, starts_[entry.endpoint]);
   }
-  if (list.whole) unlist_missing();
+  if (list.is_snapshot) unlist_missing();
   forget_oldest();
-  heard_at_ = list.heard_at;
+  heard_at_ = list.received_at_s;
   source_changed_ = false;
 }
 
@@ -44,23 +44,25 @@
   Bounds open{Bounds().absent_until, now};
   ++lists_;
   for (std::size_t i = 0; i < known.entries.size(); ++i)
-    known.entries[i].online_since_s = judge(known.entries[i].endpoint, known.since_ms[i], open, offset);
+    known.entries[i].online_since_s =
+        judge(known.entries[i].endpoint, known.stated_start_ms[i], open, offset);
 }
 
 void EndpointStarts::take_over(const EndpointList& list) {
   for (std::size_t i = 0; i < list.entries.size(); ++i)
-    starts_[list.entries[i].endpoint] = {list.since_ms[i], 0, list.entries[i].online_since_s, lists_, true};
-  if (list.heard_at > 0) heard_at_ = list.heard_at;
+    starts_[list.entries[i].endpoint] = {list.stated_start_ms[i], 0, list.entries[i].online_since_s, lists_,
+                                         true};
+  if (list.received_at_s > 0) heard_at_ = list.received_at_s;
 }
 
 void EndpointStarts::annotate(EndpointList& list) const {
-  list.since_ms.clear();
+  list.stated_start_ms.clear();
   for (const ListEntry& entry : list.entries) {
     auto found = starts_.find(entry.endpoint);
-    list.since_ms.push_back(found == starts_.end() ? 0 : found->second.stated_ms);
+    list.stated_start_ms.push_back(found == starts_.end() ? 0 : found->second.stated_ms);
   }
-  list.heard_at = heard_at_.value_or(0);
-  list.timed = true;
+  list.received_at_s = heard_at_.value_or(0);
+  list.has_start_times = true;
 }
 
 // What to take from a stated time to get the monotonic clock's. Discovery's own date is told by the clock
@@ -78,7 +80,7 @@
   // leaves, and how far the others lie before it is known whatever the clock.
   std::size_t stamped = 0, ahead = 0;
   double newest = 0;
-  for (double stated_ms : list.since_ms) {
+  for (double stated_ms : list.stated_start_ms) {
     double stated = stated_ms / 1000;
     stamped += stated > 0;
     ahead += stated > 0 && stated - offset > heard_at;
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_starts_test.cpp
@@ -28,13 +28,13 @@
 
 EndpointList list_at(double heard_at, const std::vector<Stated>& endpoints, bool whole = true) {
   EndpointList list;
-  list.index = 1, list.whole = whole, list.heard_at = heard_at;
+  list.index = 1, list.is_snapshot = whole, list.received_at_s = heard_at;
   for (const Stated& one : endpoints) {
     ListEntry entry;
     entry.endpoint = one.name, entry.state = one.state;
     list.entries.push_back(entry);
     list.addresses.emplace_back("127.0.0.1:1");
-    list.since_ms.push_back(one.started == kLongAgo ? 0 : std::round((one.started + kRight) * 1000));
+    list.stated_start_ms.push_back(one.started == kLongAgo ? 0 : std::round((one.started + kRight) * 1000));
   }
   return list;
 }
@@ -150,8 +150,9 @@
   }
   EndpointStarts starts;  // one that fits: the clock is the finer of the two
   assert(about(heard(starts, list_at(100, {{"a", 98}}), {kRight, kRight - 0.7}).front(), 98));
-  assert(read_date("Tue, 14 Nov 2023 22:13:20 GMT") == 1.7e9);
-  assert(!read_date("") && !read_date("yesterday") && !read_date("Tue, 14 Nov 2023 22:13:20 GMT+1"));
+  assert(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT") == 1.7e9);
+  assert(!parse_http_date("") && !parse_http_date("yesterday") &&
+         !parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT+1"));
 }
 
 void an_old_list_takes_no_start_back() {
--- /dev/null
+++ b/src/discovery/list_splitter.cpp
@@ -0,0 +1,34 @@
+#include "src/discovery/list_splitter.h"
+
+namespace puffinvane {
+
+std::optional<std::string> ListSplitter::take_line() {
+  for (; scanned_bytes_ < buffer_.size(); ++scanned_bytes_) {
+    char byte = buffer_[scanned_bytes_];
+    if (byte != '\n') {
+      scan(byte);
+      continue;
+    }
+    // JSON has no line feed within quotes: that line ends, and can't be read.
+    ends_inside_list_ = depth_ > 0 && !in_quotes_;
+    if (ends_inside_list_) continue;
+    std::string line = buffer_.substr(0, scanned_bytes_);
+    buffer_.erase(0, scanned_bytes_ + 1);
+    scanned_bytes_ = 0;
+    depth_ = 0;
+    in_quotes_ = false;
+    is_escaped_ = false;
+    return line;
+  }
+  return std::nullopt;
+}
+
+void ListSplitter::scan(char byte) {
+  if (is_escaped_) is_escaped_ = false;
+  else if (byte == '\\') is_escaped_ = in_quotes_;
+  else if (byte == '"') in_quotes_ = !in_quotes_;
+  else if (!in_quotes_ && (byte == '{' || byte == '[')) ++depth_;
+  else if (!in_quotes_ && (byte == '}' || byte == ']')) --depth_;
+}
+
+}  // namespace puffinvane
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -118,13 +118,14 @@
     if (!parsed) return why = "it speaks another format", std::nullopt;
     switch (parsed->what) {
       case ControlMessage::What::Listing:
-        if (!left.list) left.list.emplace(), left.list->whole = true;
+        if (!left.list) left.list.emplace(), left.list->is_snapshot = true;
         left.list->index = parsed->list.index;
-        left.list->heard_at = parsed->list.heard_at, left.list->timed = parsed->list.timed;
+        left.list->received_at_s = parsed->list.received_at_s,
+        left.list->has_start_times = parsed->list.has_start_times;
         for (ListEntry& entry : parsed->list.entries) left.list->entries.push_back(std::move(entry));
         for (std::string& address : parsed->list.addresses)
           left.list->addresses.push_back(std::move(address));
-        for (double since_ms : parsed->list.since_ms) left.list->since_ms.push_back(since_ms);
+        for (double since_ms : parsed->list.stated_start_ms) left.list->stated_start_ms.push_back(since_ms);
         break;
       case ControlMessage::What::Overrides: left.overrides = std::move(parsed->overrides); break;
       case ControlMessage::What::Listener: left.listener = std::move(packet.socket); break;
--- a/src/hot_restart/hot_restart_test.cpp
+++ b/src/hot_restart/hot_restart_test.cpp
@@ -21,7 +21,7 @@
       assert(one.whole.health != Health::Removed && one.whole.samples.size() <= 64);
     if (parsed->what == ControlMessage::What::Listing)
       assert(parsed->list.entries.size() == parsed->list.addresses.size() &&
-             parsed->list.entries.size() == parsed->list.since_ms.size());
+             parsed->list.entries.size() == parsed->list.stated_start_ms.size());
   }
   // The admin API's parser is the listener's; a call's body is small.
   BufferPool pool;
@@ -47,13 +47,13 @@
 
 EndpointList some_list(std::size_t count) {
   EndpointList list;
-  list.index = 41, list.whole = true, list.heard_at = 99.5, list.timed = true;
+  list.index = 41, list.is_snapshot = true, list.received_at_s = 99.5, list.has_start_times = true;
   for (std::size_t i = 0; i < count; ++i) {
     ListedState state = i % 3 == 0 ? ListedState::Draining : ListedState::Ready;
     list.entries.push_back(
         {"s-" + std::to_string(i), "z\"1", std::int64_t(i % 5), state, 0.5 + double(i), i % 2 ? 100.25 : 0});
     list.addresses.push_back("127.0.0.1:" + std::to_string(5000 + i));
-    list.since_ms.push_back(i % 2 ? 1700000000123.0 : 0);
+    list.stated_start_ms.push_back(i % 2 ? 1700000000123.0 : 0);
   }
   return list;
 }
@@ -64,13 +64,13 @@
     for (const std::string& packet : write_listing(list)) {
       std::optional<ControlMessage> parsed = read_control_message(packet);
       assert(packet.size() < 128 * 1024 && parsed && parsed->what == ControlMessage::What::Listing &&
-             parsed->list.index == 41 && parsed->list.heard_at == 99.5 && parsed->list.timed);
+             parsed->list.index == 41 && parsed->list.received_at_s == 99.5 && parsed->list.has_start_times);
       for (const ListEntry& entry : parsed->list.entries) back.entries.push_back(entry);
       for (const std::string& address : parsed->list.addresses) back.addresses.push_back(address);
-      for (double since_ms : parsed->list.since_ms) back.since_ms.push_back(since_ms);
+      for (double since_ms : parsed->list.stated_start_ms) back.stated_start_ms.push_back(since_ms);
     }
     assert(back.entries == list.entries && back.addresses == list.addresses &&
-           back.since_ms == list.since_ms);
+           back.stated_start_ms == list.stated_start_ms);
   }
 }
 
--- a/src/hot_restart/message.cpp
+++ b/src/hot_restart/message.cpp
@@ -111,11 +111,11 @@
 
 // On the monotonic clock, which discovery's own lists don't tell; nor did an earlier build.
 void read_times(Element parsed, EndpointList& list) {
-  if (parsed["heard_at"].get(list.heard_at)) return;
+  if (parsed["heard_at"].get(list.received_at_s)) return;
   auto entries = value<simdjson::dom::array>(parsed["endpoints"].value());
   std::size_t at = 0;
   for (Element one : entries) list.entries[at++].online_since_s = value<double>(one["started"].value());
-  list.timed = true;
+  list.has_start_times = true;
 }
 
 }  // namespace
@@ -156,14 +156,14 @@
                          {"group", one.cell},
                          {"status", status_of(one.state)},
                          {"weight", one.weight},
-                         {"since_ms", list.since_ms[from]},
+                         {"since_ms", list.stated_start_ms[from]},
                          {"started", one.online_since_s}});
       bytes += text(entries.back()).size();
     }
     json packet = head(ControlMessage::What::Listing);
     packet["list"] = {{"index", list.index},
                       {"snapshot", packets.empty()},
-                      {"heard_at", list.heard_at},
+                      {"heard_at", list.received_at_s},
                       {"endpoints", std::move(entries)}};
     packets.push_back(text(packet));
   } while (from < list.entries.size());
@@ -204,7 +204,7 @@
     simdjson::dom::element list;
     if (said["list"].get(list)) return {};
     try {
-      parsed.list = read_list(list);
+      parsed.list = read_endpoint_list(list);
       read_times(list, parsed.list);
     } catch (const std::exception&) {
       return {};
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -557,7 +557,8 @@
 void RequestForwarder::know(const EndpointList& known) { note_entries(known, ListScope::Cached); }
 
 void RequestForwarder::on_list(const EndpointList& notified) {
-  if (listed_.empty()) return note_entries(notified, notified.whole ? ListScope::Full : ListScope::Changes);
+  if (listed_.empty())
+    return note_entries(notified, notified.is_snapshot ? ListScope::Full : ListScope::Changes);
   EndpointList changes = news(notified);
   index_ = notified.index;
   if (!changes.entries.empty()) note_entries(changes, ListScope::Changes);
@@ -589,7 +590,7 @@
     changes.entries.push_back(std::move(entry));
     changes.addresses.push_back(list.addresses[i]);
   }
-  if (list.whole) add_left_out(list, changes);
+  if (list.is_snapshot) add_left_out(list, changes);
   return changes;
 }
 
@@ -607,7 +608,7 @@
 
 EndpointList RequestForwarder::listing() const {
   EndpointList list;
-  list.index = index_, list.whole = true;
+  list.index = index_, list.is_snapshot = true;
   for (const auto& [name, notified] : listed_)
     list.entries.push_back(notified), list.addresses.push_back(notified.address);
   return list;
@@ -719,7 +720,7 @@
     if (entry.state == ListedState::Removed) addresses_.forget(entry.endpoint);
     else place(listed_.at(entry.endpoint));
   }
-  if (list.whole) {  // what a whole list leaves out is gone without a word
+  if (list.is_snapshot) {  // what a whole list leaves out is gone without a word
     for (const std::string& gone : addresses_.missing_from(listed))
       drop_connections(gone), addresses_.forget(gone), note_gone(gone);
   }
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -8,6 +8,7 @@
 #include <sstream>
 
 #include "src/discovery/discovery.h"
+#include "src/discovery/list_splitter.h"
 #include "src/http/headers.h"
 #include "src/http/http.h"
 #include "src/net/loop.h"
@@ -222,19 +223,21 @@
 }
 
 void a_list_is_read_with_its_starts_as_they_are_stated() {
-  EndpointList list = read_list(
+  EndpointList list = std::get<EndpointList>(parse_endpoint_list(
       R"({"index":43,"snapshot":false,"endpoints":[
          {"name":"s-1","address":"10.1.0.18:5000","zone":"a","group":3,"status":"leaving","weight":1.5,
          "since_ms":5000},
         {"name":"s-2","address":"10.1.0.19:5000","zone":"b","group":4,"status":"active","weight":0,
          "since_ms":0},
-        {"name":"s-3","status":"left","new":{"field":1}}]})");
-  assert(list.index == 43 && !list.whole && list.entries.size() == 3 &&
+        {"name":"s-3","status":"left","new":{"field":1}}]})"));
+  assert(list.index == 43 && !list.is_snapshot && list.entries.size() == 3 &&
          list.addresses[1] == "10.1.0.19:5000");
-  assert(list.entries[0].state == ListedState::Draining && list.since_ms[0] == 5000 &&
+  assert(list.entries[0].state == ListedState::Draining && list.stated_start_ms[0] == 5000 &&
          list.entries[0].cell == 3);
-  assert(list.entries[1].state == ListedState::Ready && list.entries[1].weight == 1 && list.since_ms[1] == 0);
-  assert(list.entries[2].state == ListedState::Removed && list.addresses[2].empty() && list.since_ms[2] == 0);
+  assert(list.entries[1].state == ListedState::Ready && list.entries[1].weight == 1 &&
+         list.stated_start_ms[1] == 0);
+  assert(list.entries[2].state == ListedState::Removed && list.addresses[2].empty() &&
+         list.stated_start_ms[2] == 0);
 }
 
 template <typename Act>
@@ -252,7 +255,7 @@
        {"", "{", "[]", "{}", R"({"index":1})", R"({"index":1,"endpoints":[{"status":"active"}]})",
         R"({"index":1,"endpoints":[{"name":"a","status":"asleep","address":"b"}]})",
         R"({"index":1,"endpoints":[{"name":"a","status":"active"}]})"})
-    assert(!complaint([&] { read_list(bad); }).empty());
+    assert(!describe(std::get<ListError>(parse_endpoint_list(bad))).empty());
   simdjson::dom::parser parser;
   auto assign = [&](std::string text) { return read_assignment(parser.parse(text)); };
   std::string settings =
@@ -275,21 +278,20 @@
 }
 
 void lines_are_held_back_until_they_end() {
-  Lines lines;
-  std::string line;
-  lines.add("one\ntw");
-  assert(lines.next(line) && line == "one" && !lines.next(line));
-  lines.add("o\n\n");
-  assert(lines.next(line) && line == "two" && lines.next(line) && line.empty() && !lines.next(line));
+  ListSplitter lines;
+  lines.append("one\ntw");
+  assert(lines.take_line() == "one" && !lines.take_line());
+  lines.append("o\n\n");
+  assert(lines.take_line() == "two" && lines.take_line() == "" && !lines.take_line());
   // Indented lists are whole where their braces close; what stands in quotes closes nothing.
   std::string indented = "{\n  \"a\": [\n    {\"b\": \"}]\\\"{\"}\n  ]\n}";
-  lines.add(indented.substr(0, 20));
-  assert(!lines.next(line) && lines.unfinished());
-  lines.add(indented.substr(20) + "\n\nnext\n");
-  assert(lines.next(line) && line == indented && !lines.unfinished());
-  assert(lines.next(line) && line.empty() && lines.next(line) && line == "next");
-  lines.add("{\"no end\n}\n");  // no text goes over a line's end: that line is over, and can't be read
-  assert(lines.next(line) && lines.next(line) && line == "}");
+  lines.append(indented.substr(0, 20));
+  assert(!lines.take_line() && lines.ends_inside_list());
+  lines.append(indented.substr(20) + "\n\nnext\n");
+  assert(lines.take_line() == indented && !lines.ends_inside_list());
+  assert(lines.take_line() == "" && lines.take_line() == "next");
+  lines.append("{\"no end\n}\n");  // no text goes over a line's end: that line is over, and can't be read
+  assert(lines.take_line() && lines.take_line() == "}");
 }
 
 void buffers_are_used_again() {
@@ -500,20 +502,17 @@
       if (text.empty()) text = " ";
     }
     HttpReader reader(kind < 2 ? Side::Request : Side::Answer, pool);
-    Lines lines;
-    std::string line;
+    ListSplitter lines;
     for (std::size_t at = 0; at < text.size();) {
       std::string_view part = std::string_view(text).substr(at, 1 + chance(20));
       at += part.size();
       std::size_t used = reader.feed(part);
       assert(used <= part.size() && !(reader.whole() && reader.fault() != Fault::None));
-      lines.add(part);
-      while (lines.next(line)) {
-        assert(line.size() <= text.size());
-        try {
-          lists += !read_list(line).entries.empty();
-        } catch (const Malformed&) {
-        }
+      lines.append(part);
+      while (std::optional<std::string> line = lines.take_line()) {
+        assert(line->size() <= text.size());
+        ListResult result = parse_endpoint_list(*line);
+        if (const EndpointList* list = std::get_if<EndpointList>(&result)) lists += !list->entries.empty();
       }
     }
     whole += reader.whole(), refused += reader.fault() != Fault::None;
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -24,7 +24,7 @@
 
 EndpointList list_of(const site::Pool& pool, const std::map<std::string, double>& since) {
   EndpointList list;
-  list.whole = true;
+  list.is_snapshot = true;
   for (const site::Endpoint& one : pool.endpoints) {
     std::string identity = site::identity_of(one);
     list.entries.push_back({identity, one.zone, one.cell, ListedState::Ready, one.size, since.at(identity)});
@@ -35,7 +35,7 @@
 }  // namespace
 
 void Server::Running::on_list(const EndpointList& list) {
-  if (list.whole) listed.clear();
+  if (list.is_snapshot) listed.clear();
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     const ListEntry& entry = list.entries[i];
     if (entry.state == ListedState::Removed) listed.erase(entry.endpoint);
@@ -46,7 +46,7 @@
 
 EndpointList Server::Running::known() const {
   EndpointList list;
-  list.whole = true;
+  list.is_snapshot = true;
   for (const auto& [name, one] : listed)
     list.entries.push_back(one.first), list.addresses.push_back(one.second);
   return list;
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -59,7 +59,7 @@
 void Sidecar::start() {
   started_ = loop().now();
   on_overrides(takeover_.overrides);
-  if (takeover_.list && takeover_.list->timed) starts_.take_over(*takeover_.list);
+  if (takeover_.list && takeover_.list->has_start_times) starts_.take_over(*takeover_.list);
   starts_.recall(assignment_.known, started_, {Loop::unix_offset(), {}});
   forwarder_.know(assignment_.known);
   watch_.open();
