--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -91,7 +91,7 @@
 void DiscoveryWatch::renew() {
   // It was asked what had changed by then, and its answer began and told nothing.
   bool nothing = asking_ == Asking::Free && !whole_call_ && !answered_ && !lines_.has_partial_list();
-  if (nothing) starts_.hear_no_change(since_);
+  if (nothing) starts_.on_unchanged(since_);
   if (asking_ == Asking::Free && lines_.has_partial_list()) bear_more(kRenew);
   open();
 }
@@ -121,7 +121,7 @@
 void DiscoveryWatch::move(const std::string& address) {
   if (address == address_) return;
   address_ = address;
-  starts_.change_source();
+  starts_.on_source_changed();
   confirmed_ = 0;  // another discovery may count its changes otherwise
   held_.reset();
   turn(Input::Moved);
@@ -211,7 +211,7 @@
   bool answer = !std::exchange(answered_, true);
   if (known(line)) {
     note_all(line);
-    starts_.hear_no_change(loop_.now());
+    starts_.on_unchanged(loop_.now());
     confirmed_ = index_, complained_ = false;
     return true;
   }
@@ -231,7 +231,7 @@
   if (list.is_snapshot || answer) confirmed_ = list.index;
   index_ = list.index, listed_ = true, complained_ = false;
   list.received_at_s = loop_.now();
-  starts_.hear(list, offsets());
+  starts_.on_list(list, offsets());
   owner_.on_list(list);
   return true;
 }
@@ -241,7 +241,7 @@
   bool empty = line.find_first_not_of(" \t\r") == std::string::npos;
   if (!empty && !take(line)) return false;
   bool alive = !empty || (asking_ == Asking::Priced && (state_ == State::Listening || index_ > 0));
-  if (empty && (alive || state_ == State::Listening)) starts_.hear_no_change(loop_.now());
+  if (empty && (alive || state_ == State::Listening)) starts_.on_unchanged(loop_.now());
   if (alive) turn(Input::Heard);
   if (alive && asking_ == Asking::Priced) heard();
   return true;
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_starts_test.cpp
@@ -40,7 +40,7 @@
 }
 
 std::vector<double> heard(EndpointStarts& starts, EndpointList list, const ClockOffsets& offsets) {
-  starts.hear(list, offsets);
+  starts.on_list(list, offsets);
   std::vector<double> started;
   for (const ListEntry& entry : list.entries) started.push_back(entry.online_since_s);
   return started;
@@ -63,7 +63,7 @@
     for (const char* name : {"a", "new"}) {  // started anew, or listed for the first time
       EndpointStarts starts;
       heard(starts, 100, {{"a"}, {"b"}}, wrong);
-      starts.hear_no_change(102);
+      starts.on_unchanged(102);
       double started = heard(starts, 103.5, {{name, 103}, {"b"}}, wrong);
       assert(started >= 102 && started <= 103.5);
     }
@@ -87,7 +87,7 @@
 void a_discovery_that_says_that_nothing_changed_bounds_the_next_start() {
   EndpointStarts starts;
   heard(starts, 100, {{"a"}, {"b"}}, 5);
-  for (double at = 102; at <= 200; at += 2) starts.hear_no_change(at);
+  for (double at = 102; at <= 200; at += 2) starts.on_unchanged(at);
   assert(heard(starts, 200.5, {{"a", 200.2}, {"b"}}, 5) >= 200);
 }
 
@@ -100,9 +100,9 @@
     double started = heard(starts, 120, {{"a", 118}, {"b"}}, step);
     assert(started == 120);
     // A start that fits narrow bounds shows that the clocks agree again.
-    starts.hear_no_change(130);
+    starts.on_unchanged(130);
     heard(starts, 131, {{"a", 118}, {"b", 130.5}});
-    starts.hear_no_change(131.5);
+    starts.on_unchanged(131.5);
     heard(starts, 132, {{"a", 118}, {"b", 130.5}, {"c", 131.8}});
     assert(about(heard(starts, 150, {{"a", 140}}), 140));
   }
@@ -132,7 +132,7 @@
 void the_first_list_is_not_cold_as_a_whole() {
   EndpointStarts starts;
   EndpointList known = list_at(0, {{"a", 10}, {"b", 20}});
-  starts.recall(known, 100, {kRight, {}});
+  starts.set_cached_start_times(known, 100, {kRight, {}});
   assert(about(known.entries[0].online_since_s, 10));
   std::vector<double> started =
       heard(starts, list_at(100.1, {{"a", 10}, {"b", 50}, {"c", 60}}), {kRight, {}});
@@ -171,13 +171,13 @@
     EndpointStarts predecessor;
     heard(predecessor, 100, {{"a"}, {"b"}, {"c"}});
     EndpointList list = list_at(104, {{"a", 103}, {"b"}, {"c"}});
-    predecessor.hear(list, {kRight, {}});
+    predecessor.on_list(list, {kRight, {}});
     list.entries[1].online_since_s = 103.7;  // cold by order
-    predecessor.annotate(list);
+    predecessor.export_start_times(list);
     EndpointStarts successor;
-    successor.take_over(list);
+    successor.import_start_times(list);
     EndpointList known = list;
-    successor.recall(known, 104.2, {kRight + step, {}});
+    successor.set_cached_start_times(known, 104.2, {kRight + step, {}});
     std::vector<double> started =
         heard(successor, list_at(104.5, {{"a", 103}, {"b"}, {"c", 104.1}}), {kRight + step, {}});
     assert(started[0] == list.entries[0].online_since_s && started[1] == 103.7);
@@ -189,11 +189,11 @@
 void another_discovery_may_name_others_that_are_warm() {
   EndpointStarts starts;
   heard(starts, 100, {{"a"}, {"b"}});
-  starts.change_source();
+  starts.on_source_changed();
   std::vector<double> started = heard(starts, list_at(102, {{"c", 20}, {"d", 30}, {"a"}}), {kRight, {}});
   assert(about(started[0], 20) && about(started[1], 30));
   // One that names the same ones besides is held to what was heard before.
-  starts.change_source();
+  starts.on_source_changed();
   started = heard(starts, list_at(104, {{"c", 20}, {"d", 30}, {"e", 103}}), {kRight + 3600, {}});
   assert(started[2] == 104);
 }
@@ -205,7 +205,7 @@
   for (int i = 0; i < 20000; ++i)
     heard(starts, list_at(30000 + i, {{"t-" + std::to_string(i), kLongAgo, ListedState::Removed}}, false),
           {kRight, {}});
-  assert(starts.known() <= EndpointStarts::kRemembered + 2);
+  assert(starts.known_endpoint_count() <= EndpointStarts::kMaxUnlistedEndpoints + 2);
 }
 
 }  // namespace
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -234,7 +234,7 @@
     }
   }
   if (!running.listed.empty()) running.forwarder->know(running.known());
-  if (joins) running.starts.change_source();
+  if (joins) running.starts.on_source_changed();
   running.watch = std::make_unique<DiscoveryWatch>(loop(), running, pool.discovery, running.starts, 0,
                                                    DiscoveryWatch::Asking::Free, chance_());
   running.watch->open();
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -59,8 +59,8 @@
 void Sidecar::start() {
   started_ = loop().now();
   on_overrides(takeover_.overrides);
-  if (takeover_.list && takeover_.list->has_start_times) starts_.take_over(*takeover_.list);
-  starts_.recall(assignment_.known, started_, {Loop::unix_offset(), {}});
+  if (takeover_.list && takeover_.list->has_start_times) starts_.import_start_times(*takeover_.list);
+  starts_.set_cached_start_times(assignment_.known, started_, {Loop::unix_offset(), {}});
   forwarder_.know(assignment_.known);
   watch_.open();
   open_listeners();
@@ -161,7 +161,7 @@
 
 EndpointList Sidecar::listing() const {
   EndpointList list = forwarder_.listing();
-  starts_.annotate(list);
+  starts_.export_start_times(list);
   return list;
 }
 
