--- /dev/null
+++ b/src/discovery/discovery_events.h
@@ -0,0 +1,17 @@
+// The log events of discovery: their names and fields (docs/oncall.md lists them). When they are written is
+// decided by the watch.
+#pragma once
+
+#include <string_view>
+
+#include "src/discovery/list_cursor.h"
+#include "src/net/log.h"
+
+namespace puffinvane {
+
+// discovery.call_failed address=... reason=invalid_http|http_status status=...
+void log_call_failed(Log& log, std::string_view address, const CallFailed& failure);
+// discovery.list_rejected address=... reason=... where=..., with name_of() of the fault.
+void log_list_rejected(Log& log, std::string_view address, const ListError& error);
+
+}  // namespace puffinvane
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,104 +1,124 @@
-// The standing watch on discovery: it is opened again whenever it ends, falls silent or makes no sense. Where
-// the list costs nothing to ask for it is opened anew all the time for what changed, so that neither a watch
-// that goes on without its entries nor one that can't be told from a quiet one keeps a change back. The whole
-// list is asked for at the start, where something says that it is needed, and rarely enough else.
+// The standing watch on the discovery service: opens calls, times them out and reports lists to its owner.
+// What a line means is ListCursor's, how long a call may take CallTimeouts', how long to wait before the next
+// CallBackoff's, start times EndpointStarts'.
 #pragma once
 
-#include <xxhash.h>
-
 #include <cstdint>
-#include <limits>
 #include <optional>
-#include <pcg_random.hpp>
 #include <string>
+#include <string_view>
 
 #include "puffinvane/table.h"
+#include "src/discovery/call_backoff.h"
+#include "src/discovery/call_timeouts.h"
 #include "src/discovery/discovery.h"
 #include "src/discovery/endpoint_starts.h"
+#include "src/discovery/list_cursor.h"
 #include "src/discovery/list_splitter.h"
 #include "src/http/http.h"
 #include "src/net/tcp_connection.h"
 
 namespace puffinvane {
 
+// Follows the endpoint list. A call that ends, is silent or can't be read is followed by another one. In
+// pushed mode changes are also asked for anew all the time, so that neither a watch that goes on without its
+// lists nor a broken one that looks quiet delays a change. Owned by the proxy of a pool, on the event loop's
+// thread. Errors are logged (discovery.call_failed, discovery.list_rejected), once until a list is received,
+// and leave the list in force as it is.
 class DiscoveryWatch final : TcpConnection::Owner {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void on_list(const EndpointList& list) = 0;
+    // A list that differs from the last one, with start times. The watch may be closed from here, not
+    // destroyed.
+    virtual void on_endpoint_list(const EndpointList& list) = 0;
+  };
+
+  struct Options {
+    std::string address;          // "127.0.0.1:5000"
+    std::int64_t held_index = 0;  // of a list from before; 0: none
+    DiscoveryMode mode = DiscoveryMode::Pushed;
+    std::uint64_t backoff_seed = 0;
   };
 
-  // Free: lists are pushed to an agent, which answers at once. Priced: asking is work that somebody pays for.
-  enum class Asking { Free, Priced };
+  // starts: of the endpoints that this discovery lists. Loop, owner and starts outlive the watch.
+  DiscoveryWatch(Loop& loop, Owner& owner, EndpointStarts& starts, const Options& options);
 
-  // seed: of its backoff, so that many of one discovery do not ask it together.
-  // starts: of the endpoints that this discovery lists; outlives it.
-  DiscoveryWatch(Loop& loop, Owner& owner, std::string address, EndpointStarts& starts, std::int64_t known,
-                 Asking asking, std::uint64_t seed);
-  void open();
-  // Discovery has moved: what was heard of it holds, and what came since is asked for at the new address.
-  void move(const std::string& address);
-  void close() { state_ = State::Over, tcp_.close(); }
-  bool listed() const { return listed_; }  // a list has come since the start
+  // Opens the first call. Called once.
+  void start();
+  // Discovery has moved: what is held stays in force, and what came since is asked for at the new address.
+  void change_address(const std::string& address);
+  // Ends the call; nothing is reported any more.
+  void close();
+  bool has_received_list() const { return has_received_list_; }
 
  private:
-  enum class State { BackingOff, Connecting, Asked, Listening, Over };
-  enum class Input { BackedOff, Connected, Heard, Overdue, Ended, Nonsense, Moved };
-  static const Transition<DiscoveryWatch, State, Input> kRows[];
-  void turn(Input input);
-  void ask();
-  void listen();
-  void renew();
+  enum class State { BackingOff, Connecting, AwaitingResponse, Watching, Closed };
+  enum class Event {
+    BackoffElapsed,
+    Connected,
+    ResponseReceived,
+    TimedOut,
+    CallEnded,
+    ListRejected,
+    AddressChanged
+  };
+  static const Transition<DiscoveryWatch, State, Event> kTransitions[];
+
+  void apply(Event event);
+  void connect();
+  void send_request();
+  void start_watching();
+  void renew_call();
   void back_off();
-  void rest_unanswered();
-  void back_off_and_forget();
-  void back_off_and_allow_longer();
-  double pause();  // between two calls
+  void back_off_unanswered();
+  void back_off_and_resync();
+  void back_off_after_timeout();
 
-  void on_connected() override { turn(Input::Connected); }
+  void on_connected() override { apply(Event::Connected); }
   void on_received(std::string_view bytes) override;
-  void on_ended(TcpConnection::End) override { turn(Input::Ended); }
-  void look();
-  double limit() const;
-  void bear_more(double at_least);
-  bool wants_whole() const;  // rather than what changed
-  double first() const;      // that an answer has to begin in, or a list that asking is free of to come
-  void heard() { since_ = loop_.now(); }
-  bool follow(const std::string& line);
-  bool take(const std::string& line);
-  bool known(const std::string& line) const;
-  void note_all(const std::string& line);
-  void not_understood(const char* why);
-  void note_date();
-  ClockOffsets offsets() const;
+  void on_ended(TcpConnection::End) override { apply(Event::CallEnded); }
+  void on_response_body();
+  void on_poll_result(PollResult result);
+  void on_list(EndpointList& list);
+  void on_unchanged();
+  void on_blank_line();
+  void on_call_failed(const CallFailed& failure);
+  void on_list_rejected(const ListError& error);
+  void on_answer();
+  void on_bytes_processed();
+
+  std::optional<CallFailed> response_failure() const;
+  void dispatch_lines();
+  void record_date();
+  void reject_list_if_cut_off();
+  void check_timeout();
+  void restart_timeout() { timeout_from_s_ = loop_.now(); }
+  double timeout_s() const;
+  CallProgress progress() const;
+  bool is_receiving() const { return state_ == State::AwaitingResponse || state_ == State::Watching; }
+  bool is_pushed() const { return mode_ == DiscoveryMode::Pushed; }
+  bool asks_for_changes() const { return cursor_.call_scope() == CallScope::Changes; }
 
   Loop& loop_;
   Owner& owner_;
-  std::string address_;
   EndpointStarts& starts_;
-  std::int64_t index_;          // held
-  std::int64_t confirmed_ = 0;  // all changes up to it were told by the first line of a call; 0: no list yet
-  const Asking asking_;
-  pcg32 chance_;
-  TcpConnection tcp_;
-  HttpReader reader_;
+  std::string address_;
+  const DiscoveryMode mode_;
+  ListCursor cursor_;
+  CallBackoff backoff_;
+  CallTimeouts timeouts_;
+  TcpConnection connection_;
+  HttpReader response_;
   ListSplitter lines_;
-  ListParser lists_;
   State state_ = State::BackingOff;
-  double since_ = 0;         // that its state, or a watch's last whole line, has lasted
-  double read_timeout_ = 0;  // that a list may take, going by the last one
-  double bytes_at_ = 0, backs_off_until_ = 0, listening_since_ = std::numeric_limits<double>::infinity();
-  int failed_ = 0;                     // calls in a row
-  std::optional<double> date_offset_;  // Unix time less this clock, by the date of this call's answer
-  // The whole list as it came last. held_: its hash, as long as nothing has changed since.
-  double whole_at_ = 0;
-  std::size_t whole_bytes_ = 0;
-  std::optional<XXH64_hash_t> held_;
-  bool whole_call_ = false;  // the call in hand asks for the whole list
-  bool answered_ = false;    // the first line of the call in hand has come
-  bool unanswered_ = false;  // a call, since the last whole list
-  bool listed_ = false, emptied_ = false, complained_ = false;
+  double timeout_from_s_ = 0;  // when the state began, or when a watch's last line came
+  double last_bytes_at_s_ = 0;
+  double backoff_ends_at_s_ = 0;
+  std::optional<double> date_offset_s_;  // Unix time less the monotonic clock, by the response's date
+  bool has_received_list_ = false;
+  bool is_fault_logged_ = false;  // since the last list
   Alive alive_;
 };
 
--- a/src/discovery/discovery_watch_test.cpp
+++ b/src/discovery/discovery_watch_test.cpp
@@ -73,11 +73,11 @@
 
 struct Member final : DiscoveryWatch::Owner {
   Member(Loop& loop, const std::string& discovery, std::uint64_t seed,
-         DiscoveryWatch::Asking asking = DiscoveryWatch::Asking::Priced)
-      : watch(loop, *this, discovery, starts, 0, asking, seed) {
-    watch.open();
+         DiscoveryMode mode = DiscoveryMode::OnRequest)
+      : watch(loop, *this, starts, {.address = discovery, .mode = mode, .backoff_seed = seed}) {
+    watch.start();
   }
-  void on_list(const EndpointList& list) override {
+  void on_endpoint_list(const EndpointList& list) override {
     heard.push_back(now());
     if (!list.entries.empty()) started = list.entries.front().online_since_s;
   }
@@ -164,7 +164,7 @@
   Listener discovery(9);
   Log log(std::cerr, Level::Error);
   Loop loop(log, 64);
-  Member member(loop, discovery.address, 3, DiscoveryWatch::Asking::Free);
+  Member member(loop, discovery.address, 3, DiscoveryMode::Pushed);
   std::atomic<bool> over = false;
   std::thread answers([&] {
     while (!over) {
@@ -195,7 +195,7 @@
   Listener discovery(9);
   Log log(std::cerr, Level::Error);
   Loop loop(log, 64);
-  Member member(loop, discovery.address, 3, DiscoveryWatch::Asking::Free);
+  Member member(loop, discovery.address, 3, DiscoveryMode::Pushed);
   bool there = false;
   std::thread answers([&] {
     Line silent = discovery.take_request().first;
@@ -235,7 +235,7 @@
       : discovery(9, 0),
         log(std::cerr, Level::Error),
         loop(log, 64),
-        member(loop, discovery.address, 3, DiscoveryWatch::Asking::Free) {
+        member(loop, discovery.address, 3, DiscoveryMode::Pushed) {
     std::atomic<bool> played = false;
     std::thread playing([&] {
       steps(discovery);
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -556,7 +556,7 @@
 
 void RequestForwarder::know(const EndpointList& known) { note_entries(known, ListScope::Cached); }
 
-void RequestForwarder::on_list(const EndpointList& notified) {
+void RequestForwarder::on_endpoint_list(const EndpointList& notified) {
   if (listed_.empty())
     return note_entries(notified, notified.is_snapshot ? ListScope::Full : ListScope::Changes);
   EndpointList changes = news(notified);
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -86,7 +86,7 @@
   void take(DownstreamConnection& downstream, HttpMessage message, const RequestClass& request_class,
             double time_left);
 
-  void on_list(const EndpointList& notified) override;
+  void on_endpoint_list(const EndpointList& notified) override;
 
  private:
   void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -34,14 +34,14 @@
 }
 }  // namespace
 
-void Server::Running::on_list(const EndpointList& list) {
+void Server::Running::on_endpoint_list(const EndpointList& list) {
   if (list.is_snapshot) listed.clear();
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     const ListEntry& entry = list.entries[i];
     if (entry.state == ListedState::Removed) listed.erase(entry.endpoint);
     else listed.insert_or_assign(entry.endpoint, std::pair(entry, list.addresses[i]));
   }
-  forwarder->on_list(list);
+  forwarder->on_endpoint_list(list);
 }
 
 EndpointList Server::Running::known() const {
@@ -222,7 +222,7 @@
       since[site::identity_of(one)] = known != running.since.end() ? known->second : fresh ? loop().now() : 0;
     }
     running.since = std::move(since);
-    running.forwarder->on_list(list_of(pool, running.since));
+    running.forwarder->on_endpoint_list(list_of(pool, running.since));
     return;
   }
   running.since.clear();
@@ -235,9 +235,11 @@
   }
   if (!running.listed.empty()) running.forwarder->know(running.known());
   if (joins) running.starts.on_source_changed();
-  running.watch = std::make_unique<DiscoveryWatch>(loop(), running, pool.discovery, running.starts, 0,
-                                                   DiscoveryWatch::Asking::Free, chance_());
-  running.watch->open();
+  DiscoveryWatch::Options options;
+  options.address = pool.discovery;
+  options.backoff_seed = chance_();
+  running.watch = std::make_unique<DiscoveryWatch>(loop(), running, running.starts, options);
+  running.watch->start();
 }
 
 // Else every change of a value, and every pool that is split or renamed, would find out anew who is ill and
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -31,7 +31,7 @@
   // A pool at work. Its forwarder goes with its deployment: one that changes is replaced, its pending
   // requests end under the old one.
   struct Running : DiscoveryWatch::Owner {
-    void on_list(const EndpointList& list) override;
+    void on_endpoint_list(const EndpointList& list) override;
     EndpointList known() const;  // what discovery has said, all in all
     site::Pool pool;
     std::unique_ptr<RequestForwarder> forwarder;
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -40,8 +40,11 @@
                  ForwarderOptions{false, HttpReader::kMostBody, "", true}),
       downstream_(loop, limiter_, *this, HttpReader::kMostBody, 0, HttpReader::kMostStreamed),
       listener_(loop, downstream_),
-      watch_(loop, forwarder_, assignment_.discovery, starts_, assignment_.known.index, assignment_.asking,
-             assignment_.seed),
+      watch_(loop, forwarder_, starts_,
+             DiscoveryWatch::Options{.address = assignment_.discovery,
+                                     .held_index = assignment_.known.index,
+                                     .mode = assignment_.discovery_mode,
+                                     .backoff_seed = assignment_.seed}),
       operations_(*this),
       takeover_(std::move(takeover)) {
   downstream_.longest_wait(patience().longest);
@@ -62,7 +65,7 @@
   if (takeover_.list && takeover_.list->has_start_times) starts_.import_start_times(*takeover_.list);
   starts_.set_cached_start_times(assignment_.known, started_, {Loop::unix_offset(), {}});
   forwarder_.know(assignment_.known);
-  watch_.open();
+  watch_.start();
   open_listeners();
 }
 
@@ -104,7 +107,7 @@
     if (!read_address(discovery)) throw Malformed("'discovery' is not an address and port: " + discovery);
     loop().log().info() << assignment_.name << " reads its file anew, discovery at " << discovery;
     assignment_.discovery = discovery;
-    watch_.move(discovery);
+    watch_.change_address(discovery);
     unread_ = 0;
   } catch (const NotReadNow& fault) {
     if (unread_++ == 0)
@@ -167,7 +170,7 @@
 
 // Until then it would send by the list that it knows from before, to who may have left since.
 bool Sidecar::informed() const {
-  return watch_.listed() || takeover_.list || loop().now() - started_ > kFirstList;
+  return watch_.has_received_list() || takeover_.list || loop().now() - started_ > kFirstList;
 }
 
 void Sidecar::hands_over() {
--- a/src/server/start.cpp
+++ b/src/server/start.cpp
@@ -66,8 +66,8 @@
   if (config["settings"].get(settings)) throw Malformed("no 'settings'");
   read.deployment = read_deployment(settings);
   // On sockets discovery is always watched: the module has nothing to ask for.
-  read.asking =
-      read.deployment.polls_endpoint_list ? DiscoveryWatch::Asking::Priced : DiscoveryWatch::Asking::Free;
+  read.discovery_mode =
+      read.deployment.polls_endpoint_list ? DiscoveryMode::OnRequest : DiscoveryMode::Pushed;
   read.deployment.polls_endpoint_list = false;
   element shadow;
   if (!config["watch"].get(shadow)) {
--- a/src/server/start.h
+++ b/src/server/start.h
@@ -7,7 +7,6 @@
 
 #include "src/config/settings/deployment.h"
 #include "src/discovery/discovery.h"
-#include "src/discovery/discovery_watch.h"
 #include "src/fleet/fleet.h"
 
 namespace puffinvane {
@@ -21,8 +20,8 @@
   Deployment deployment;
   std::optional<Deployment> shadow;  // other settings whose decisions are only counted
   EndpointList known;
-  DiscoveryWatch::Asking asking = DiscoveryWatch::Asking::Free;  // for the list
-  std::optional<fleet::Place> fleet;                             // none: it talks to no other instance
+  DiscoveryMode discovery_mode = DiscoveryMode::Pushed;
+  std::optional<fleet::Place> fleet;  // none: it talks to no other instance
 };
 
 // The file could not be read for want of something on this machine, and may be a little later.
