--- /dev/null
+++ b/testing/start_times.h
@@ -0,0 +1,51 @@
+// What tests of endpoint start times share: how lists reach EndpointStarts, and what a time is compared with.
+#pragma once
+
+#include <gmock/gmock.h>
+
+#include <utility>
+#include <vector>
+
+#include "src/discovery/endpoint_starts.h"
+#include "testing/endpoint_lists.h"
+
+namespace puffinvane::test {
+
+// By how much a wall clock is ahead of the one that starts are stated by, in seconds.
+constexpr double kWallClockErrors[] = {-3600, -5, 5, 3600};
+constexpr double kRoundingSeconds = 0.002;
+
+inline auto about(double expected_s) {
+  return testing::AllOf(testing::Gt(expected_s - kRoundingSeconds),
+                        testing::Lt(expected_s + kRoundingSeconds));
+}
+
+inline auto between(double earliest_s, double latest_s) {
+  return testing::AllOf(testing::Ge(earliest_s), testing::Le(latest_s));
+}
+
+inline ClockOffsets wall_clock_ahead_by(double error_s) {
+  ClockOffsets offsets;
+  offsets.wall_s = kStatedClockOffsetSeconds + error_s;
+  return offsets;
+}
+
+inline ClockOffsets right_wall_clock() { return wall_clock_ahead_by(0); }
+
+// The start times of a list's entries, in its order.
+inline std::vector<double> start_times(EndpointStarts& starts, EndpointList list,
+                                       const ClockOffsets& offsets = right_wall_clock()) {
+  starts.on_list(list, offsets);
+  std::vector<double> started_at_s;
+  for (const ListEntry& entry : list.entries) started_at_s.push_back(entry.online_since_s);
+  return started_at_s;
+}
+
+// The start time of a snapshot's first entry.
+inline double first_start_time(EndpointStarts& starts, double received_at_s,
+                               const std::vector<EndpointBuilder>& endpoints, double wall_error_s = 0) {
+  EndpointList list = snapshot_at(received_at_s, endpoints);
+  return start_times(starts, std::move(list), wall_clock_ahead_by(wall_error_s)).front();
+}
+
+}  // namespace puffinvane::test
