--- /dev/null
+++ b/src/discovery/discovery_watch_timeouts_test.cpp
@@ -0,0 +1,142 @@
+// How long the watch waits for a discovery that is silent, slow or can't be connected to.
+#include <gtest/gtest.h>
+
+#include <atomic>
+#include <thread>
+
+#include "src/discovery/discovery_watch.h"
+#include "testing/discovery_stand_ins.h"
+
+namespace puffinvane {
+namespace {
+
+using namespace test;
+
+// After discovery had a change and could be reached.
+constexpr double kMaxChangeDelaySeconds = 6;
+
+// Sends a list in 12 pieces, one each 0.1 s, and leaves the call open for 0.3 s.
+void send_slowly(Line& call, const std::string& list) {
+  std::size_t piece_size = list.size() / 12 + 1;
+  for (std::size_t begin = 0; begin < list.size(); begin += piece_size) {
+    call.say(chunk(list.substr(begin, piece_size)));
+    if (call.ended(0.1)) return;
+  }
+  call.ended(0.3);
+}
+
+// The list takes longer than a list usually may: cut at each timeout, it would never be received.
+TEST(DiscoveryWatchTimeouts, ReceivesAListThatArrivesSlowly) {
+  Listener discovery(kDiscoveryHost);
+  EventLoop events;
+  WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::Pushed);
+  std::atomic<bool> is_over = false;
+  std::thread answers([&] {
+    while (!is_over) {
+      if (!discovery.connection_waits(0.1)) continue;
+      Line call = discovery.take();
+      if (!call.hear(HttpReader::Side::Request)) continue;  // the test was over by then
+      call.say(kResponseHead);
+      send_slowly(call, snapshot_line(1));
+    }
+  });
+
+  bool is_received = events.run_until([&] { return !owner.received_at_s().empty(); }, 15);
+  is_over = true;
+  answers.join();
+
+  EXPECT_TRUE(is_received);
+}
+
+// A silent agent sends what it has the moment it can, and that counts as received by whoever is connected.
+TEST(DiscoveryWatchTimeouts, OpensTheNextCallAtOnceAfterASilentOneInPushedMode) {
+  Listener discovery(kDiscoveryHost);
+  EventLoop events;
+  WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::Pushed);
+  bool has_ended = false;
+  bool is_next_waiting = false;
+
+  events.run_beside(
+      [&] {
+        Line silent = take_call(discovery);
+        has_ended = silent.ended(2);
+        is_next_waiting = has_ended && discovery.connection_waits(0.1);
+        take_call(discovery).say(kResponseHead + chunk(snapshot_line(1)));
+      },
+      2.5);
+
+  EXPECT_TRUE(has_ended);
+  EXPECT_TRUE(is_next_waiting);
+  EXPECT_FALSE(owner.received_at_s().empty());
+}
+
+TEST(DiscoveryWatchTimeouts, TakesBlankLinesForNoAnswerToACallForTheFullList) {
+  Listener discovery(kDiscoveryHost);
+  EventLoop events;
+  WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::OnRequest);
+  double started_at = now();
+
+  events.run_beside(
+      [&] {
+        Line watch = take_call(discovery);
+        watch.say(kResponseHead);
+        for (int i = 0; i < 30 && !discovery.connection_waits(0.1); ++i) watch.say(chunk("\n"));
+        Line next = take_call(discovery);
+        next.say(kResponseHead + chunk(snapshot_line(1)));
+        next.ended(0.2);
+      },
+      3.5);
+
+  ASSERT_EQ(owner.received_at_s().size(), 1u);
+  EXPECT_LT(owner.received_at_s().front(), started_at + 3.3);
+}
+
+// On request: the watch falls silent, the next connection never comes up, and the call after that is silent.
+TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterASilentWatchALostConnectionAndASilentCall) {
+  Listener discovery(kDiscoveryHost, 0);
+  EventLoop events;
+  WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::OnRequest);
+  double silent_since = 0;
+  bool is_watch_ended = false;
+
+  events.run_beside(
+      [&] {
+        Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+        silent_since = now();
+        is_watch_ended = refuse_connection_after(discovery, watch, 4);
+        EXPECT_TRUE(take_call(discovery).ended(3));
+        Line last = take_call(discovery);
+        last.say(kResponseHead + chunk(snapshot_line(2)));
+        last.ended(0.2);
+      },
+      7.5);
+
+  EXPECT_TRUE(is_watch_ended);
+  ASSERT_EQ(owner.received_at_s().size(), 2u);
+  EXPECT_LT(owner.received_at_s().back(), silent_since + kMaxChangeDelaySeconds);
+}
+
+// Pushed mode: a watch that goes on without its lists, a connection that never comes up, a call of which only
+// the head comes, another connection that never comes up, and a silent call.
+TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterACallOfWhichOnlyTheHeadCame) {
+  Listener discovery(kDiscoveryHost, 0);
+  EventLoop events;
+  WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::Pushed);
+  double changed_at = 0;
+
+  events.run_during([&] {
+    Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+    changed_at = now();
+    EXPECT_TRUE(refuse_connection_after(discovery, watch));
+    Line head_only = answer_call(discovery, "1", "");
+    EXPECT_TRUE(refuse_connection_after(discovery, head_only));
+    EXPECT_TRUE(take_call(discovery).ended());
+    answer_call(discovery, "0", chunk(snapshot_line(2))).ended(0.2);
+  });
+
+  ASSERT_EQ(owner.received_at_s().size(), 2u);
+  EXPECT_LT(owner.received_at_s().back(), changed_at + kMaxChangeDelaySeconds);
+}
+
+}  // namespace
+}  // namespace puffinvane
--- /dev/null
+++ b/testing/discovery_stand_ins.h
@@ -0,0 +1,128 @@
+// Discovery and the owner of a watch, as tests of the watch stand in for them: the watch runs in this
+// process, discovery in a thread of its own with blocking sockets.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <atomic>
+#include <functional>
+#include <iostream>
+#include <list>
+#include <string>
+#include <thread>
+#include <utility>
+#include <vector>
+
+#include "src/discovery/discovery_watch.h"
+#include "testing/running.h"
+
+namespace puffinvane::test {
+
+// Of the address that discovery listens at.
+constexpr int kDiscoveryHost = 9;
+
+const inline std::string kResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+// A line with the endpoint "a" and nothing else.
+inline std::string snapshot_line(int index) {
+  return R"({"index":)" + std::to_string(index) + R"(,"snapshot":true,"endpoints":[)" +
+         entry("a", "127.0.0.1:1") + "]}\n";
+}
+
+// A line with a change of "b".
+inline std::string change_line(int index) {
+  return R"({"index":)" + std::to_string(index) + R"(,"snapshot":false,"endpoints":[)" +
+         entry("b", "127.0.0.1:" + std::to_string(index)) + "]}\n";
+}
+
+// An event loop that runs until something has happened, or for a time.
+class EventLoop {
+ public:
+  explicit EventLoop(int descriptors = 64) : log_(std::cerr, Level::Error), loop_(log_, descriptors) {
+    signal(SIGPIPE, SIG_IGN);
+  }
+  Loop& loop() { return loop_; }
+
+  void run_for(double duration_s) {
+    loop_.at(loop_.now() + duration_s, [this] { loop_.quit(); });
+    loop_.run();
+  }
+  // Whether the condition held before the deadline; it is checked every 0.05 s.
+  bool run_until(const std::function<bool()>& condition, double deadline_s) {
+    double ends_at_s = loop_.now() + deadline_s;
+    std::function<void()> check = [&] {
+      if (condition() || loop_.now() > ends_at_s) loop_.quit();
+      else loop_.at(loop_.now() + 0.05, check);
+    };
+    loop_.at(loop_.now(), check);
+    loop_.run();
+    return condition();
+  }
+  // Runs while `steps` play discovery in a thread, and 0.3 s longer for what it said last.
+  void run_during(const std::function<void()>& steps) {
+    std::atomic<bool> is_played = false;
+    std::thread discovery([&] {
+      steps();
+      is_played = true;
+    });
+    EXPECT_TRUE(run_until([&] { return is_played.load(); }, 60));
+    run_for(0.3);
+    discovery.join();
+  }
+  // Runs for a time while `steps` play discovery in a thread.
+  void run_beside(const std::function<void()>& steps, double duration_s) {
+    std::thread discovery(steps);
+    run_for(duration_s);
+    discovery.join();
+  }
+
+ private:
+  Log log_;
+  Loop loop_;
+};
+
+// The owner of a watch, with what the watch has reported.
+class WatchOwner final : DiscoveryWatch::Owner {
+ public:
+  WatchOwner(Loop& loop, const std::string& discovery, std::uint64_t seed, DiscoveryMode mode)
+      : watch_(loop, *this, starts_, {.address = discovery, .mode = mode, .backoff_seed = seed}) {
+    watch_.start();
+  }
+  // When each list came, on the monotonic clock.
+  const std::vector<double>& received_at_s() const { return received_at_s_; }
+  // Of the first endpoint of the last list that had one.
+  double first_started_at_s() const { return first_started_at_s_; }
+
+ private:
+  void on_endpoint_list(const EndpointList& list) override {
+    received_at_s_.push_back(now());
+    if (!list.entries.empty()) first_started_at_s_ = list.entries.front().online_since_s;
+  }
+  std::vector<double> received_at_s_;
+  double first_started_at_s_ = 0;
+  EndpointStarts starts_;
+  DiscoveryWatch watch_;
+};
+
+// Takes the next call, which has to ask after that index, and answers it.
+inline Line answer_call(Listener& discovery, const std::string& after, const std::string& chunks) {
+  auto [line, request] = discovery.take_request();
+  EXPECT_EQ(request.target, "/v1/servers?watch=1&after=" + after);
+  line.say(kResponseHead + chunks);
+  return std::move(line);
+}
+
+// Takes the next call and says nothing.
+inline Line take_call(Listener& discovery) { return discovery.take_request().first; }
+
+// Fills the backlog of a listener that has room for one, so that the next connection does not come up, for
+// 0.2 s after `call` has ended.
+inline bool refuse_connection_after(Listener& discovery, Line& call, double call_ends_within_s = 3) {
+  Line filling(discovery.address);
+  bool has_ended = call.ended(call_ends_within_s);
+  EXPECT_FALSE(filling.ended(0.2));
+  discovery.take();
+  return has_ended;
+}
+
+}  // namespace puffinvane::test
