--- /dev/null
+++ b/src/discovery/call_timing_test.cpp
@@ -0,0 +1,100 @@
+// The durations of CallTimeouts and CallBackoff.
+#include <gtest/gtest.h>
+
+#include "src/discovery/call_backoff.h"
+#include "src/discovery/call_timeouts.h"
+
+namespace puffinvane {
+namespace {
+
+CallProgress full_list_call() {
+  CallProgress progress;
+  progress.scope = CallScope::FullList;
+  return progress;
+}
+
+CallProgress with_partial_list(CallProgress progress) {
+  progress.has_partial_list = true;
+  return progress;
+}
+
+TEST(CallTimeouts, RenewsACallForChangesSoonerThanOneForTheFullList) {
+  CallTimeouts timeouts(DiscoveryMode::Pushed);
+
+  EXPECT_EQ(timeouts.watch_s(CallProgress()), 1.6);
+  EXPECT_EQ(timeouts.watch_s(full_list_call()), 2);
+}
+
+TEST(CallTimeouts, WaitsForTheTurnOfACallOnRequest) {
+  CallTimeouts timeouts(DiscoveryMode::OnRequest);
+
+  EXPECT_EQ(timeouts.response_s(CallProgress()), 2.2);
+  EXPECT_EQ(timeouts.watch_s(CallProgress()), 2.4);
+}
+
+TEST(CallTimeouts, GivesAListThatWasLateTwiceAsLongUpToFourSeconds) {
+  CallTimeouts timeouts(DiscoveryMode::Pushed);
+  CallProgress arriving = with_partial_list(full_list_call());
+
+  timeouts.on_list_late_for_response();
+  double second_s = timeouts.response_s(arriving);
+  timeouts.on_list_late_for_response();
+  timeouts.on_list_late_for_response();
+  double last_s = timeouts.response_s(arriving);
+
+  EXPECT_EQ(second_s, 1.6);
+  EXPECT_EQ(last_s, 4);
+}
+
+TEST(CallTimeouts, GivesAListTwiceAsLongAsTheLastOneTook) {
+  CallTimeouts timeouts(DiscoveryMode::Pushed);
+
+  timeouts.on_answer(1.5);
+
+  EXPECT_EQ(timeouts.response_s(full_list_call()), 3);
+  EXPECT_EQ(timeouts.watch_s(with_partial_list(CallProgress())), 3);
+  EXPECT_EQ(timeouts.response_s(CallProgress()), 0.8);
+}
+
+TEST(CallBackoff, IsConstantInPushedMode) {
+  CallBackoff backoff(DiscoveryMode::Pushed, 1);
+
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(backoff.next_delay_s(i), 0.15);
+}
+
+TEST(CallBackoff, DoublesUpToALimitOnRequest) {
+  for (std::uint64_t seed = 0; seed < 100; ++seed) {
+    SCOPED_TRACE(seed);
+    CallBackoff backoff(DiscoveryMode::OnRequest, seed);
+
+    for (double mean_s : {0.4, 0.8, 1.1, 1.1}) {
+      double delay_s = backoff.next_delay_s(10);
+
+      EXPECT_GE(delay_s, 0.75 * mean_s);
+      EXPECT_LE(delay_s, 1.25 * mean_s);
+    }
+  }
+}
+
+TEST(CallBackoff, StartsAnewAfterAWatchThatStood) {
+  CallBackoff backoff(DiscoveryMode::OnRequest, 1);
+  for (int i = 0; i < 4; ++i) backoff.next_delay_s(10);
+
+  backoff.on_call_answered(20);
+  double delay_s = backoff.next_delay_s(22.1);
+
+  EXPECT_LE(delay_s, 0.5);
+}
+
+TEST(CallBackoff, GoesOnAfterAWatchThatEndedAtOnce) {
+  CallBackoff backoff(DiscoveryMode::OnRequest, 1);
+  for (int i = 0; i < 4; ++i) backoff.next_delay_s(10);
+
+  backoff.on_call_answered(20);
+  double delay_s = backoff.next_delay_s(22);
+
+  EXPECT_GE(delay_s, 0.75 * 1.1);
+}
+
+}  // namespace
+}  // namespace puffinvane
--- /dev/null
+++ b/src/discovery/list_cursor_test.cpp
@@ -0,0 +1,172 @@
+#include "src/discovery/list_cursor.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace puffinvane {
+namespace {
+
+constexpr double kNow = 100;
+
+std::string list_line(int index, const std::string& is_snapshot, const std::string& endpoints) {
+  return R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" + is_snapshot + R"(,"endpoints":[)" +
+         endpoints + "]}";
+}
+std::string one_endpoint() { return R"({"name":"a","address":"127.0.0.1:1","status":"active"})"; }
+std::string snapshot(int index) { return list_line(index, "true", one_endpoint()); }
+std::string empty_snapshot(int index) { return list_line(index, "true", ""); }
+std::string change(int index) { return list_line(index, "false", one_endpoint()); }
+
+ListFault fault_of(const PollResult& result) { return std::get<ListError>(result).what; }
+
+// Has a full list of that index, of a call that is over.
+ListCursor cursor_at(int index, DiscoveryMode mode = DiscoveryMode::Pushed) {
+  ListCursor cursor(mode, 0);
+  cursor.begin_call(kNow);
+  cursor.on_line(snapshot(index), kNow);
+  return cursor;
+}
+
+TEST(ListCursor, AsksForTheFullListFirstInPushedModeAlsoWithAHeldIndex) {
+  ListCursor cursor(DiscoveryMode::Pushed, 7);
+
+  std::int64_t after = cursor.begin_call(kNow);
+
+  EXPECT_EQ(after, 0);
+  EXPECT_EQ(cursor.call_scope(), CallScope::FullList);
+}
+
+TEST(ListCursor, AsksAfterTheHeldIndexOnRequest) {
+  ListCursor cursor(DiscoveryMode::OnRequest, 7);
+
+  std::int64_t after = cursor.begin_call(kNow);
+
+  EXPECT_EQ(after, 7);
+  EXPECT_EQ(cursor.call_scope(), CallScope::Changes);
+}
+
+TEST(ListCursor, AsksAfterTheFirstLineOfACallAgainInPushedMode) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+  cursor.on_line(change(5), kNow);
+  cursor.on_line(change(6), kNow);
+
+  std::int64_t after = cursor.begin_call(kNow);
+
+  EXPECT_EQ(after, 5);
+}
+
+TEST(ListCursor, AsksForTheFullListAgainAfterThirtySeconds) {
+  ListCursor cursor = cursor_at(4);
+
+  std::int64_t before = cursor.begin_call(kNow + 29.9);
+  std::int64_t after = cursor.begin_call(kNow + 30);
+
+  EXPECT_EQ(before, 4);
+  EXPECT_EQ(after, 0);
+}
+
+TEST(ListCursor, AsksForTheFullListSoonerAfterAnUnansweredCall) {
+  ListCursor cursor = cursor_at(4);
+
+  cursor.on_call_unanswered();
+  std::int64_t after = cursor.begin_call(kNow + 1);
+
+  EXPECT_EQ(after, 0);
+}
+
+TEST(ListCursor, ReportsTheHeldFullListAsUnchangedInPushedMode) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+
+  PollResult result = cursor.on_line(snapshot(4), kNow);
+
+  EXPECT_TRUE(std::holds_alternative<ListUnchanged>(result));
+}
+
+TEST(ListCursor, ReportsTheHeldFullListAsAListOnRequest) {
+  ListCursor cursor = cursor_at(4, DiscoveryMode::OnRequest);
+  cursor.begin_call(kNow);
+
+  PollResult result = cursor.on_line(snapshot(4), kNow);
+
+  EXPECT_TRUE(std::holds_alternative<EndpointList>(result));
+}
+
+TEST(ListCursor, ReportsTheFullListAgainAfterAChange) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+  cursor.on_line(change(5), kNow);
+
+  PollResult result = cursor.on_line(snapshot(4), kNow);
+
+  EXPECT_TRUE(std::holds_alternative<EndpointList>(result));
+}
+
+TEST(ListCursor, RejectsAChangeWhoseIndexWentBack) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+
+  PollResult result = cursor.on_line(change(3), kNow);
+
+  EXPECT_EQ(fault_of(result), ListFault::IndexWentBack);
+}
+
+TEST(ListCursor, AcceptsAFullListWhoseIndexWentBack) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+
+  PollResult result = cursor.on_line(snapshot(3), kNow);
+
+  EXPECT_EQ(std::get<EndpointList>(result).index, 3);
+}
+
+TEST(ListCursor, AcceptsAnEmptySnapshotOnlyTheSecondTimeInARow) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+
+  PollResult first = cursor.on_line(empty_snapshot(5), kNow);
+  PollResult second = cursor.on_line(empty_snapshot(5), kNow);
+
+  EXPECT_EQ(fault_of(first), ListFault::EmptySnapshot);
+  EXPECT_TRUE(std::holds_alternative<EndpointList>(second));
+}
+
+TEST(ListCursor, ReportsTheFieldThatALineLacks) {
+  ListCursor cursor = cursor_at(4);
+  cursor.begin_call(kNow);
+
+  PollResult result = cursor.on_line(R"({"index":5})", kNow);
+
+  EXPECT_EQ(fault_of(result), ListFault::MissingListField);
+  EXPECT_EQ(std::get<ListError>(result).where, "endpoints");
+}
+
+TEST(ListCursor, AsksForTheFullListAfterAReset) {
+  ListCursor cursor = cursor_at(4, DiscoveryMode::OnRequest);
+
+  cursor.reset();
+
+  EXPECT_FALSE(cursor.holds_list());
+  EXPECT_EQ(cursor.begin_call(kNow), 0);
+}
+
+TEST(ListCursor, KeepsTheHeldIndexOnRequestWhenTheSourceChanges) {
+  ListCursor cursor = cursor_at(4, DiscoveryMode::OnRequest);
+
+  cursor.on_source_changed();
+
+  EXPECT_EQ(cursor.begin_call(kNow), 4);
+}
+
+TEST(ListCursor, AsksForTheFullListInPushedModeWhenTheSourceChanges) {
+  ListCursor cursor = cursor_at(4);
+
+  cursor.on_source_changed();
+
+  EXPECT_EQ(cursor.begin_call(kNow), 0);
+}
+
+}  // namespace
+}  // namespace puffinvane
