--- /dev/null
+++ b/src/discovery/discovery_test.cpp
@@ -0,0 +1,111 @@
+#include "src/discovery/discovery.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace puffinvane {
+namespace {
+
+EndpointList list_of(const std::string& text) { return std::get<EndpointList>(parse_endpoint_list(text)); }
+
+ListError error_of(const std::string& text) { return std::get<ListError>(parse_endpoint_list(text)); }
+
+// A list with one entry that has these fields.
+std::string list_with_entry(const std::string& fields) {
+  return R"({"index":43,"snapshot":false,"endpoints":[{)" + fields + "}]}";
+}
+
+TEST(EndpointListParser, ReadsIndexAndScope) {
+  EndpointList changes = list_of(R"({"index":43,"snapshot":false,"endpoints":[]})");
+  EndpointList snapshot = list_of(R"({"index":44,"snapshot":true,"endpoints":[]})");
+  EndpointList unstated = list_of(R"({"index":45,"endpoints":[]})");
+
+  EXPECT_EQ(changes.index, 43);
+  EXPECT_FALSE(changes.is_snapshot);
+  EXPECT_TRUE(snapshot.is_snapshot);
+  EXPECT_FALSE(unstated.is_snapshot);
+}
+
+TEST(EndpointListParser, ReadsAllFieldsOfAnEntry) {
+  EndpointList list = list_of(list_with_entry(
+      R"("name":"s-1","address":"10.1.0.18:5000","zone":"a","group":3,"status":"leaving","weight":1.5,)"
+      R"("since_ms":5000)"));
+
+  ASSERT_EQ(list.entries.size(), 1u);
+  EXPECT_EQ(list.entries[0].endpoint, "s-1");
+  EXPECT_EQ(list.entries[0].zone, "a");
+  EXPECT_EQ(list.entries[0].cell, 3);
+  EXPECT_EQ(list.entries[0].state, ListedState::Draining);
+  EXPECT_EQ(list.entries[0].weight, 1.5);
+  EXPECT_EQ(list.addresses[0], "10.1.0.18:5000");
+  EXPECT_EQ(list.stated_start_ms[0], 5000);
+}
+
+TEST(EndpointListParser, ReplacesValuesThatAreOutOfRange) {
+  EndpointList list =
+      list_of(list_with_entry(R"("name":"s-1","address":"a:1","status":"active","weight":0,"since_ms":-1)"));
+
+  ASSERT_EQ(list.entries.size(), 1u);
+  EXPECT_EQ(list.entries[0].state, ListedState::Ready);
+  EXPECT_EQ(list.entries[0].weight, 1);
+  EXPECT_EQ(list.stated_start_ms[0], 0);
+}
+
+TEST(EndpointListParser, ReadsARemovedEntryWithoutAnAddress) {
+  EndpointList list = list_of(list_with_entry(R"("name":"s-1","status":"left","new":{"field":1})"));
+
+  ASSERT_EQ(list.entries.size(), 1u);
+  EXPECT_EQ(list.entries[0].state, ListedState::Removed);
+  EXPECT_EQ(list.addresses[0], "");
+}
+
+TEST(EndpointListParser, ReportsTextThatIsNotJson) {
+  for (const char* text : {"", "{", "{]"}) {
+    SCOPED_TRACE(text);
+    EXPECT_EQ(error_of(text).what, ListFault::InvalidJson);
+  }
+}
+
+TEST(EndpointListParser, ReportsTheFieldThatAListLacks) {
+  ListError no_index = error_of("{}");
+  ListError no_endpoints = error_of(R"({"index":1})");
+
+  EXPECT_EQ(no_index.what, ListFault::MissingListField);
+  EXPECT_EQ(no_index.where, "index");
+  EXPECT_EQ(no_endpoints.what, ListFault::MissingListField);
+  EXPECT_EQ(no_endpoints.where, "endpoints");
+}
+
+TEST(EndpointListParser, ReportsTheFieldThatAnEntryLacks) {
+  ListError no_name = error_of(list_with_entry(R"("status":"active")"));
+  ListError no_status = error_of(list_with_entry(R"("name":"a")"));
+  ListError no_address = error_of(list_with_entry(R"("name":"a","status":"active")"));
+
+  EXPECT_EQ(no_name.what, ListFault::MissingEntryField);
+  EXPECT_EQ(no_name.where, "name");
+  EXPECT_EQ(no_status.where, "status");
+  EXPECT_EQ(no_address.where, "address");
+}
+
+TEST(EndpointListParser, ReportsAnUnknownStatus) {
+  ListError error = error_of(list_with_entry(R"("name":"a","status":"asleep","address":"b")"));
+
+  EXPECT_EQ(error.what, ListFault::UnknownStatus);
+  EXPECT_EQ(error.where, "asleep");
+}
+
+TEST(EndpointListParser, ThrowsTheErrorToReadersOfSettings) {
+  simdjson::dom::parser parser;
+  simdjson::dom::element list = parser.parse(std::string(R"({"index":1})"));
+
+  try {
+    read_endpoint_list(list);
+    FAIL() << "no exception";
+  } catch (const Malformed& error) {
+    EXPECT_STREQ(error.what(), "a list has no endpoints");
+  }
+}
+
+}  // namespace
+}  // namespace puffinvane
--- a/src/discovery/endpoint_starts_clock_test.cpp
+++ b/src/discovery/endpoint_starts_clock_test.cpp
@@ -85,6 +85,16 @@
   }
 }
 
+// No step is seen: the clock is wrong from the start.
+TEST(EndpointStartsClock, TakesTheLatestTimeOfAStartThatIsStatedLongBeforeItsBounds) {
+  EndpointStarts starts;
+  first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 3600);
+
+  double started = first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, 3600);
+
+  EXPECT_EQ(started, 120);
+}
+
 TEST(EndpointStartsClock, TrustsTheClockAgainAfterAStartWithinNarrowBounds) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_starts_test.cpp
@@ -135,6 +135,7 @@
     EndpointList list = snapshot_at(104, {endpoint("a").started_at(103), endpoint("b"), endpoint("c")});
     predecessor.on_list(list, right_wall_clock());
     list.entries[1].online_since_s = 103.7;  // as ordered by an operator
+    list.received_at_s = 0;                  // as in a list that the proxy has put together
     predecessor.export_start_times(list);
 
     EndpointStarts successor;
