--- a/src/hot_restart/channel.cpp
+++ b/src/hot_restart/channel.cpp
@@ -14,64 +14,85 @@
 
 namespace {
 
-constexpr int kAtOnce = 64;              // packets a turn: the requests have their turn too
-constexpr double kPause = 0.01;          // seconds after a call for which the system had no memory
-constexpr std::size_t kMostSockets = 4;  // that a packet may carry; one is taken, and the others are closed
-
-// Room for the sockets that come with a packet, as the system wants it laid out.
-struct alignas(cmsghdr) ControlRoom {
-  std::array<char, CMSG_SPACE(kMostSockets * sizeof(int))> bytes{};
+// Bounds the time that one channel holds the event loop.
+constexpr int kMaxPacketsPerWakeup = 64;
+constexpr double kMemoryRetrySeconds = 0.01;
+// A packet with more attached sockets is truncated by the system.
+constexpr std::size_t kMaxAttachedSockets = 4;
+
+// Space for the descriptors attached to a packet, aligned as the system requires.
+struct alignas(cmsghdr) AncillaryBuffer {
+  std::array<char, CMSG_SPACE(kMaxAttachedSockets * sizeof(int))> bytes{};
 };
 
-Ref<GSocket> socket_in(msghdr& message) {
-  Ref<GSocket> found;
-  for (cmsghdr* part = CMSG_FIRSTHDR(&message); part; part = CMSG_NXTHDR(&message, part)) {
-    if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_RIGHTS) continue;
-    std::size_t many = (part->cmsg_len - CMSG_LEN(0)) / sizeof(int);
-    for (std::size_t i = 0; i < many; ++i) {
+bool is_temporary(int error) { return error == EINTR || is_short_of_memory(error); }
+
+void attach_socket(msghdr& message, AncillaryBuffer& buffer, GSocket* socket) {
+  const int descriptor = g_socket_get_fd(socket);
+  message.msg_control = buffer.bytes.data();
+  message.msg_controllen = CMSG_SPACE(sizeof descriptor);
+  cmsghdr* header = CMSG_FIRSTHDR(&message);
+  header->cmsg_level = SOL_SOCKET;
+  header->cmsg_type = SCM_RIGHTS;
+  header->cmsg_len = CMSG_LEN(sizeof descriptor);
+  std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
+}
+
+// Keeps the descriptor as a socket if none is kept yet; closes it otherwise.
+void keep_or_close(int descriptor, Ref<GSocket>& kept) {
+  if (!kept) {
+    kept.reset(g_socket_new_from_fd(descriptor, nullptr));
+    if (kept) return;
+  }
+  ::close(descriptor);
+}
+
+Ref<GSocket> take_attached_socket(msghdr& message) {
+  Ref<GSocket> kept;
+  for (cmsghdr* header = CMSG_FIRSTHDR(&message); header; header = CMSG_NXTHDR(&message, header)) {
+    if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
+    const std::size_t count = (header->cmsg_len - CMSG_LEN(0)) / sizeof(int);
+    for (std::size_t i = 0; i < count; ++i) {
       int descriptor = -1;
-      std::memcpy(&descriptor, CMSG_DATA(part) + i * sizeof(int), sizeof descriptor);
-      bool first = !found;
-      if (first) found.reset(g_socket_new_from_fd(descriptor, nullptr));
-      if (!first || !found) ::close(descriptor);
+      std::memcpy(&descriptor, CMSG_DATA(header) + i * sizeof(int), sizeof descriptor);
+      keep_or_close(descriptor, kept);
     }
   }
-  return found;
+  return kept;
 }
 
 }  // namespace
 
-Ref<GSocket> handover_socket() {
-  Ref<GSocket> made(
+Ref<GSocket> create_control_socket() {
+  Ref<GSocket> socket(
       g_socket_new(G_SOCKET_FAMILY_UNIX, G_SOCKET_TYPE_SEQPACKET, G_SOCKET_PROTOCOL_DEFAULT, nullptr));
-  if (made) g_socket_set_blocking(made.get(), FALSE);
-  return made;
+  if (socket) g_socket_set_blocking(socket.get(), FALSE);
+  return socket;
 }
 
-Received receive_packet(GSocket* from, Packet& packet) {
-  std::string text(kMostPacket, '\0');
-  iovec into{text.data(), text.size()};
-  ControlRoom room;
+ReceiveResult receive_packet(GSocket* socket) {
+  std::string text(kMaxPacketBytes, '\0');
+  iovec content{text.data(), text.size()};
+  AncillaryBuffer buffer;
   msghdr message{};
-  message.msg_iov = &into;
+  message.msg_iov = &content;
   message.msg_iovlen = 1;
-  message.msg_control = room.bytes.data();
-  message.msg_controllen = room.bytes.size();
-  ssize_t size = uninterrupted(
-      [&] { return recvmsg(g_socket_get_fd(from), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT); });
-  if (size < 0 && errno == EAGAIN) return Received::Nothing;
-  if (size < 0 && (errno == EINTR || is_short_of_memory(errno))) return Received::NotNow;
-  if (size <= 0) return Received::End;
-  packet.socket = socket_in(message);
+  message.msg_control = buffer.bytes.data();
+  message.msg_controllen = buffer.bytes.size();
+  const ssize_t size = uninterrupted(
+      [&] { return recvmsg(g_socket_get_fd(socket), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT); });
+  if (size < 0 && errno == EAGAIN) return {ReceiveStatus::WouldBlock, {}};
+  if (size < 0 && is_temporary(errno)) return {ReceiveStatus::TryLater, {}};
+  if (size <= 0) return {ReceiveStatus::Closed, {}};
   text.resize(std::size_t(size));
-  packet.text = std::move(text);
-  return Received::Packet;
+  Ref<GSocket> attached_socket = take_attached_socket(message);
+  return {ReceiveStatus::Received, {std::move(text), std::move(attached_socket)}};
 }
 
 Channel::Channel(Loop& loop, Owner& owner, Ref<GSocket> socket)
     : loop_(loop), owner_(owner), socket_(std::move(socket)) {
   g_socket_set_blocking(socket_.get(), FALSE);
-  g_socket_set_option(socket_.get(), SOL_SOCKET, SO_SNDBUF, 2 * int(kMostPacket), nullptr);
+  g_socket_set_option(socket_.get(), SOL_SOCKET, SO_SNDBUF, 2 * int(kMaxPacketBytes), nullptr);
   loop_.watch(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
 }
 
@@ -80,73 +101,94 @@
   g_socket_close(socket_.get(), nullptr);
 }
 
-bool Channel::write(const std::string& text, GSocket* socket) {
-  iovec out{const_cast<char*>(text.data()), text.size()};
-  ControlRoom room;
-  msghdr message{};
-  message.msg_iov = &out;
-  message.msg_iovlen = 1;
-  if (socket) {
-    const int descriptor = g_socket_get_fd(socket);
-    message.msg_control = room.bytes.data();
-    message.msg_controllen = CMSG_SPACE(sizeof descriptor);
-    cmsghdr* part = CMSG_FIRSTHDR(&message);
-    part->cmsg_level = SOL_SOCKET;
-    part->cmsg_type = SCM_RIGHTS;
-    part->cmsg_len = CMSG_LEN(sizeof descriptor);
-    std::memcpy(CMSG_DATA(part), &descriptor, sizeof descriptor);
+void Channel::send(std::string text) {
+  // The system would refuse it for ever, and all packets behind it would wait.
+  if (text.size() > kMaxPacketBytes) {
+    loop_.log()
+        .event(Level::Warning, "hot_restart.message_too_large")
+        .with("size_bytes", text.size())
+        .with("limit_bytes", kMaxPacketBytes);
+    return;
   }
-  return uninterrupted([&] {
-           return sendmsg(g_socket_get_fd(socket_.get()), &message, MSG_NOSIGNAL | MSG_DONTWAIT);
-         }) >= 0;
+  queued_packets_.push_back(std::move(text));
+  flush();
 }
 
-void Channel::send(std::string text) {
-  if (text.size() > kMostPacket)  // it could never go out, and all behind it would wait for ever
-    return void(loop_.log().warning() << "the other process is not told " << text.size()
-                                      << " bytes: a packet holds " << kMostPacket);
-  waiting_.push_back(std::move(text));
+bool Channel::try_send(const std::string& text, GSocket* attached_socket) {
   flush();
+  if (state_ == State::Closed || !queued_packets_.empty()) return false;
+  return write(text, attached_socket) == WriteStatus::Written;
 }
 
-bool Channel::send(const std::string& text, GSocket* socket) {
-  flush();
-  return !over_ && waiting_.empty() && write(text, socket);
+Channel::WriteStatus Channel::write(const std::string& text, GSocket* attached_socket) {
+  iovec content{const_cast<char*>(text.data()), text.size()};
+  AncillaryBuffer buffer;
+  msghdr message{};
+  message.msg_iov = &content;
+  message.msg_iovlen = 1;
+  if (attached_socket) attach_socket(message, buffer, attached_socket);
+  const ssize_t size = uninterrupted(
+      [&] { return sendmsg(g_socket_get_fd(socket_.get()), &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
+  if (size >= 0) return WriteStatus::Written;
+  if (errno == EAGAIN) return WriteStatus::WouldBlock;
+  return is_temporary(errno) ? WriteStatus::TryLater : WriteStatus::Failed;
+}
+
+Channel::WriteStatus Channel::write_queued_packets() {
+  while (!queued_packets_.empty()) {
+    const WriteStatus status = write(queued_packets_.front(), nullptr);
+    if (status != WriteStatus::Written) return status;
+    queued_packets_.pop_front();
+  }
+  return WriteStatus::Written;
 }
 
 void Channel::flush() {
-  if (paused_) return;
-  bool written = true;
-  while (!over_ && !waiting_.empty() && (written = write(waiting_.front(), nullptr))) waiting_.pop_front();
-  bool full = !written && errno == EAGAIN;
-  // Else the system would tell that the socket is ready, again and again.
-  if (!written && (errno == EINTR || is_short_of_memory(errno))) return pause();
-  // One that can't be written to at all ends, and the reading side tells it.
-  loop_.watch(g_socket_get_fd(socket_.get()), EPOLLIN | (full ? std::uint32_t(EPOLLOUT) : 0u), *this);
+  if (state_ != State::Open) return;
+  const WriteStatus status = write_queued_packets();
+  if (status == WriteStatus::TryLater) {
+    pause();
+    return;
+  }
+  // A write that fails for good is followed by a read that finds the channel closed.
+  const std::uint32_t writable = status == WriteStatus::WouldBlock ? std::uint32_t(EPOLLOUT) : 0u;
+  loop_.watch(g_socket_get_fd(socket_.get()), EPOLLIN | writable, *this);
 }
 
+// The socket stays ready while the system has no memory, so it is not watched in the meantime.
 void Channel::pause() {
-  paused_ = true;
+  state_ = State::Paused;
   loop_.unwatch(g_socket_get_fd(socket_.get()));
-  loop_.at(loop_.now() + kPause, alive_.guard([this] {
-    paused_ = false;
-    if (!over_) flush();
-  }));
+  loop_.at(loop_.now() + kMemoryRetrySeconds, alive_.guard([this] { on_pause_elapsed(); }));
+}
+
+void Channel::on_pause_elapsed() {
+  if (state_ != State::Paused) return;
+  state_ = State::Open;
+  flush();
 }
 
 void Channel::on_ready(std::uint32_t) {
-  if (!waiting_.empty()) flush();
-  for (int i = 0; i < kAtOnce && !over_; ++i) {
-    Packet packet;
-    Received what = receive_packet(socket_.get(), packet);
-    if (what == Received::NotNow) return pause();
-    if (what == Received::Nothing) break;
-    over_ = what == Received::End;
-    if (!over_) owner_.on_packet(*this, std::move(packet));
+  if (!queued_packets_.empty()) flush();
+  receive_packets();
+}
+
+void Channel::receive_packets() {
+  for (int i = 0; i < kMaxPacketsPerWakeup; ++i) {
+    ReceiveResult received = receive_packet(socket_.get());
+    switch (received.status) {
+      case ReceiveStatus::Received: owner_.on_packet(*this, std::move(received.packet)); break;
+      case ReceiveStatus::WouldBlock: return;
+      case ReceiveStatus::TryLater: pause(); return;
+      case ReceiveStatus::Closed: close(); return;
+    }
   }
-  if (!over_) return;
+}
+
+void Channel::close() {
+  state_ = State::Closed;
   loop_.unwatch(g_socket_get_fd(socket_.get()));
-  owner_.on_over(*this);
+  owner_.on_channel_closed(*this);
 }
 
 }  // namespace puffinvane
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,78 +1,87 @@
-// Two processes of one sidecar, the one taking over from the other under load.
+// The hot restart of a process that serves: what it says to its predecessor and its successor on the control
+// channels, and what it does with what they say. How requests are served meanwhile is its owner's.
 #pragma once
 
-#include <functional>
 #include <memory>
 #include <optional>
 #include <string>
 
+#include "puffinvane/table.h"
 #include "src/hot_restart/channel.h"
+#include "src/hot_restart/control_listener.h"
 #include "src/hot_restart/message.h"
+#include "src/hot_restart/message_encoder.h"
 
 namespace puffinvane {
 
-// What a successor has from its predecessor when it starts.
-struct Takeover {
-  Ref<GSocket> predecessor, listener;
-  std::optional<EndpointList> list;
-  OperatorOverrides overrides;
-};
-
-// Where the processes of the sidecar that listens there meet; empty: nowhere.
-std::string control_path(std::string_view listen);
-// Asks there; nothing if nobody answers whole within that time, with why in a few words if somebody should
-// have. Blocks: nothing is served yet.
-std::optional<Takeover> request_takeover(const std::string& place, double within, std::string& why);
+// Whether another process of this sidecar runs beside this one and holds resources under the same limits.
+enum class PeerPresence { Alone, Present };
 
-class HotRestart final : Channel::Owner {
+// Connects a process with its predecessor and its successor. Owned by its Owner; everything runs on the event
+// loop's thread. A message that can't be decoded or sent is logged and dropped; a peer that goes away is
+// logged, and the next successor may come.
+class HotRestart final : Channel::Owner, ControlListener::Owner {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual GSocket* listener() = 0;
-    virtual EndpointList listing() const = 0;
-    virtual OperatorOverrides overrides() const = 0;
-    virtual LearnedState learned() const = 0;
-    virtual void on_learned(const LearnedState& part) = 0;
-    virtual void on_overrides(const OperatorOverrides& overrides) = 0;
-    virtual void on_connection(Ref<GSocket> socket, bool asked) = 0;
-    virtual void on_company(bool two) = 0;  // whether two processes share the limits
+    virtual GSocket* listener_socket() = 0;  // null: there is none to pass on
+    virtual EndpointList endpoint_list() const = 0;
+    virtual OperatorOverrides operator_overrides() const = 0;
+    virtual LearnedState learned_state() const = 0;
+    virtual void on_learned_state(const LearnedState& part) = 0;
+    virtual void on_operator_overrides(const OperatorOverrides& overrides) = 0;
+    virtual void on_connection(Ref<GSocket> socket, ConnectionHistory history) = 0;
+    virtual void on_peer_presence(PeerPresence presence) = 0;
   };
 
-  HotRestart(Loop& loop, Owner& owner, std::string place, Ref<GSocket> predecessor);
-  ~HotRestart() override;
+  // predecessor: the control channel of a takeover; null if there was none.
+  HotRestart(Loop& loop, Owner& owner, std::string control_path, Ref<GSocket> predecessor);
 
-  void serving();  // from here on the next one may come
+  // The owner serves: tells the predecessor, and from here on a successor may connect.
+  void on_serving();
   bool has_successor() const { return successor_ != nullptr; }
-  void send_overrides() { send_overrides(nullptr); }
-  bool hand_over(GSocket* client, bool asked);
-  bool transferring() const {
-    return transfer_.has_value();
-  }  // its successor has not heard all that was learned
+  // True until the successor has been sent all learned state.
+  bool is_sending_learned_state() const { return successor_state_ == SuccessorState::ReceivingLearnedState; }
+  void send_operator_overrides();
+  // Passes a client's connection to the successor. True if it was sent; else it stays with this process.
+  [[nodiscard]] bool try_send_connection(GSocket* connection, ConnectionHistory history);
 
  private:
-  void on_packet(Channel& from, Packet packet) override;
-  void on_over(Channel& channel) override;
-  void listen();
-  void accept();
-  static gboolean connection_waits(GSocket*, GIOCondition, gpointer self);
-  void send_overrides(const Channel* but);
-  void send_learned();
+  enum class SuccessorState { None, ReceivingLearnedState, UpToDate };
+  enum class SuccessorEvent { Connected, LearnedStateSent, Disconnected };
+  static const Transition<HotRestart, SuccessorState, SuccessorEvent> kTransitions[];
+
+  void on_control_connection(Ref<GSocket> socket) override;
+  void on_packet(Channel& channel, Packet packet) override;
+  void on_channel_closed(Channel& channel) override;
+
+  void on_message(Channel& sender, OperatorOverridesMessage& message, Packet& packet);
+  void on_message(Channel& sender, ConnectionMessage& message, Packet& packet);
+  void on_message(Channel& sender, LearnedStateMessage& message, Packet& packet);
+  // Parts of the snapshot, which request_takeover has read, and news that change nothing.
+  void on_message(Channel&, EndpointListMessage&, Packet&) {}
+  void on_message(Channel&, ListenerMessage&, Packet&) {}
+  void on_message(Channel&, SnapshotCompleteMessage&, Packet&) {}
+  void on_message(Channel&, ServingMessage&, Packet&) {}
+
+  void apply_successor_event(SuccessorEvent event);
+  void begin_takeover();
+  void send_snapshot();
+  void send_learned_state_packet();
+  void discard_learned_state();
+  void discard_successor();
+  void update_peer_presence();
+  void forward_operator_overrides(const Channel& sender);
+  const char* name_of_peer(const Channel& channel) const;
 
   Loop& loop_;
   Owner& owner_;
-  const std::string place_;
-  std::unique_ptr<Channel> predecessor_, successor_;
-  struct Transfer {
-    LearnedState learned;
-    std::size_t sent = 0;  // endpoints
-  };
-  std::optional<Transfer> transfer_;
-  Ref<GSocket> socket_;
-  Source source_;
-  std::uint64_t file_ = 0;  // at the place: ours
-  bool complained_ = false;
-  int refused_ = 0;  // tries to listen there, in a row
+  ControlListener listener_;
+  std::unique_ptr<Channel> predecessor_;
+  std::unique_ptr<Channel> successor_;
+  SuccessorState successor_state_ = SuccessorState::None;
+  std::optional<LearnedStateEncoder> learned_state_;  // set while the successor receives it
   Alive alive_;
 };
 
--- a/src/hot_restart/message.h
+++ b/src/hot_restart/message.h
@@ -1,11 +1,14 @@
-// What one process of a sidecar tells the next, word by word. No sockets here.
+// The messages that two processes of one sidecar exchange on the control channel, as structs. How they read
+// as bytes is the encoder's and the decoder's; sockets are the channel's.
+//
+// Times are on the system's monotonic clock, which both processes share, also the start times of endpoints: a
+// wall clock may be stepped between the two.
 #pragma once
 
 #include <map>
 #include <optional>
 #include <string>
-#include <string_view>
-#include <vector>
+#include <variant>
 
 #include "puffinvane/learned.h"
 #include "src/discovery/discovery.h"
@@ -13,32 +16,45 @@
 namespace puffinvane {
 
 struct OperatorOverrides {
-  std::map<std::string, double, std::less<>> out;  // endpoints excluded, and since when
-  std::optional<double> drains_since;
+  std::map<std::string, double, std::less<>> excluded_since_s;  // excluded endpoints by name
+  std::optional<double> evacuated_since_s;                      // unset: the sidecar is not evacuated
   friend bool operator==(const OperatorOverrides&, const OperatorOverrides&) = default;
 };
 
-// What a packet says; whatever it does not speak of is empty.
-struct ControlMessage {
-  enum class What { Listing, Overrides, Listener, Connection, Whole, Serving, Learned } what = What::Whole;
-  EndpointList list;
+// The endpoint list of the predecessor, or a part of it: a list of any length is sent as several messages.
+struct EndpointListMessage {
+  EndpointList list;  // `whole` is set in the first part only
+};
+
+// All operator overrides of the sender; they replace those of the receiver.
+struct OperatorOverridesMessage {
   OperatorOverrides overrides;
-  LearnedState learned;  // a part of it; empty where it can't be right
-  bool asked = false;    // of a client: it has sent a whole request before
 };
 
-constexpr int kHandoverFormat = 1;
-
-// Times are the system's monotonic clock, which both processes read, also those of endpoints' starts: a wall
-// clock may be stepped between the two. What was stated of a start goes along as it was stated.
-std::vector<std::string> write_listing(const EndpointList& list);
-std::string write_overrides(const OperatorOverrides& overrides);
-std::string write_listener();
-std::string write_connection(bool asked);
-std::string write_whole();
-std::string write_serving();
-// A packet of it, of the endpoints from `from` on, which it moves; all is told once that is their number.
-std::string write_learned(const LearnedState& learned, std::size_t& from);
-std::optional<ControlMessage> read_control_message(std::string_view packet);  // none: not to be understood
+// The listening socket of the predecessor, attached to the packet.
+struct ListenerMessage {};
+
+// Whether a client has sent a complete request on its connection.
+enum class ConnectionHistory { Unused, Used };
+
+// A client's connection, attached to the packet.
+struct ConnectionMessage {
+  ConnectionHistory history = ConnectionHistory::Unused;
+};
+
+// The successor has all that it needs to start. Only learned state and connections follow.
+struct SnapshotCompleteMessage {};
+
+// The successor serves.
+struct ServingMessage {};
+
+// What the predecessor's policy has learned, or a part of it. Fields that a part leaves empty say nothing.
+struct LearnedStateMessage {
+  LearnedState state;
+};
+
+using ControlMessage =
+    std::variant<EndpointListMessage, OperatorOverridesMessage, ListenerMessage, ConnectionMessage,
+                 SnapshotCompleteMessage, ServingMessage, LearnedStateMessage>;
 
 }  // namespace puffinvane
--- /dev/null
+++ b/src/hot_restart/message_decoder.cpp
@@ -0,0 +1,127 @@
+#include "src/hot_restart/message_decoder.h"
+
+#include <exception>
+#include <string>
+#include <utility>
+
+#include "src/hot_restart/wire_format.h"
+
+namespace puffinvane {
+
+namespace {
+
+using Element = JsonReader::Element;
+using DecodeResult = Result<ControlMessage, DecodeError>;
+
+// The adapter to discovery's parser, which reports errors by exceptions.
+std::optional<EndpointList> parse_list(Element element) {
+  try {
+    return read_list(element);
+  } catch (const std::exception&) {
+    return std::nullopt;
+  }
+}
+
+// Former versions, and discovery itself, send no times on the monotonic clock.
+void decode_list_times(JsonReader& reader, Element element, EndpointList& list) {
+  const auto received_at_s = JsonReader::optional_member<double>(element, wire::kListReceivedAtKey);
+  if (!received_at_s) return;
+  list.heard_at = *received_at_s;
+  std::size_t index = 0;
+  reader.for_each_member(element, wire::kEndpointsKey, [&](Element entry) {
+    list.entries[index].online_since_s = reader.member<double>(entry, wire::kEndpointStartedAtKey);
+    ++index;
+  });
+  list.timed = true;
+}
+
+DecodeResult decode_endpoint_list(Element packet) {
+  JsonReader reader;
+  const std::optional<Element> element = reader.find(packet, wire::kListKey);
+  if (!element) return *reader.error();
+  std::optional<EndpointList> list = parse_list(*element);
+  if (!list) return DecodeError{DecodeFault::InvalidValue, wire::kListKey};
+  decode_list_times(reader, *element, *list);
+  if (reader.error()) return *reader.error();
+  return ControlMessage(EndpointListMessage{std::move(*list)});
+}
+
+DecodeResult decode_operator_overrides(Element packet) {
+  JsonReader reader;
+  OperatorOverridesMessage message;
+  const auto excluded = reader.member<simdjson::dom::object>(packet, wire::kExcludedKey);
+  if (reader.error()) return *reader.error();
+  for (const auto& [name, since] : excluded) {
+    message.overrides.excluded_since_s.emplace(name, reader.value<double>(since, wire::kExcludedKey));
+  }
+  if (reader.error()) return *reader.error();
+  message.overrides.evacuated_since_s = JsonReader::optional_member<double>(packet, wire::kEvacuatedSinceKey);
+  return ControlMessage(std::move(message));
+}
+
+DecodeResult decode_connection(Element packet) {
+  JsonReader reader;
+  const bool used = reader.member<bool>(packet, wire::kConnectionUsedKey);
+  if (reader.error()) return *reader.error();
+  return ControlMessage(ConnectionMessage{used ? ConnectionHistory::Used : ConnectionHistory::Unused});
+}
+
+DecodeResult decode_learned_state_or_empty(Element packet) {
+  Result<LearnedStateMessage, DecodeError> decoded = decode_learned_state(packet);
+  if (!decoded) return ControlMessage(LearnedStateMessage{});
+  return ControlMessage(std::move(decoded.value()));
+}
+
+template <typename Message>
+DecodeResult decode_empty(Element) {
+  return ControlMessage(Message{});
+}
+
+struct MessageDecoder {
+  std::string_view type;
+  DecodeResult (*decode)(Element packet);
+};
+
+constexpr MessageDecoder kDecoders[] = {
+    {wire::kEndpointListType, decode_endpoint_list},
+    {wire::kOperatorOverridesType, decode_operator_overrides},
+    {wire::kListenerType, decode_empty<ListenerMessage>},
+    {wire::kConnectionType, decode_connection},
+    {wire::kSnapshotCompleteType, decode_empty<SnapshotCompleteMessage>},
+    {wire::kServingType, decode_empty<ServingMessage>},
+    {wire::kLearnedStateType, decode_learned_state_or_empty},
+};
+
+}  // namespace
+
+std::string_view to_string(DecodeFault fault) {
+  switch (fault) {
+    case DecodeFault::NotJson: return "not_json";
+    case DecodeFault::UnsupportedFormat: return "unsupported_format";
+    case DecodeFault::UnknownType: return "unknown_type";
+    case DecodeFault::MissingField: return "missing_field";
+    case DecodeFault::WrongType: return "wrong_type";
+    case DecodeFault::OutOfRange: return "out_of_range";
+    case DecodeFault::InvalidValue: return "invalid_value";
+  }
+  return "unknown";
+}
+
+DecodeResult decode_message(std::string_view packet) {
+  simdjson::dom::parser parser;
+  const simdjson::padded_string padded(packet);
+  Element root;
+  if (parser.parse(padded).get(root)) return DecodeError{DecodeFault::NotJson, {}};
+  JsonReader reader;
+  const auto format = reader.member<std::int64_t>(root, wire::kFormatKey);
+  if (reader.error()) return *reader.error();
+  if (format != wire::kFormat) return DecodeError{DecodeFault::UnsupportedFormat, wire::kFormatKey};
+  const auto type = reader.member<std::string_view>(root, wire::kTypeKey);
+  if (reader.error()) return *reader.error();
+  for (const MessageDecoder& decoder : kDecoders) {
+    if (decoder.type == type) return decoder.decode(root);
+  }
+  return DecodeError{DecodeFault::UnknownType, wire::kTypeKey};
+}
+
+}  // namespace puffinvane
--- /dev/null
+++ b/src/hot_restart/message_fuzz_test.cpp
@@ -0,0 +1,151 @@
+// Any bytes in place of a packet, and of a call of the admin API, are read without harm. The same entry
+// serves libFuzzer and, from a test, packets and calls torn in some ways, the same at every run.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "src/hot_restart/message_builders.h"
+#include "src/hot_restart/message_decoder.h"
+#include "src/http/http.h"
+
+namespace puffinvane {
+namespace {
+
+void check_decoded(const EndpointListMessage& message) {
+  EXPECT_EQ(message.list.entries.size(), message.list.addresses.size());
+  EXPECT_EQ(message.list.entries.size(), message.list.since_ms.size());
+}
+
+void check_decoded(const OperatorOverridesMessage& message) {
+  const auto again = decode_message(encode_message(message));
+  ASSERT_TRUE(again.has_value());
+  const auto* overrides = std::get_if<OperatorOverridesMessage>(&again.value());
+  ASSERT_NE(overrides, nullptr);
+  EXPECT_EQ(overrides->overrides.excluded_since_s.size(), message.overrides.excluded_since_s.size());
+}
+
+void check_decoded(const LearnedStateMessage& message) {
+  for (const LearnedState::EndpointState& endpoint : message.state.endpoints) {
+    EXPECT_NE(endpoint.whole.health, Health::Removed);
+    EXPECT_LE(endpoint.whole.samples.size(), 64u);
+  }
+}
+
+// Messages without a field that could be wrong.
+void check_decoded(const ListenerMessage&) {}
+void check_decoded(const ConnectionMessage&) {}
+void check_decoded(const SnapshotCompleteMessage&) {}
+void check_decoded(const ServingMessage&) {}
+
+void check_packet(std::string_view text) {
+  const auto decoded = decode_message(text);
+  if (!decoded) return;
+  std::visit([](const auto& message) { check_decoded(message); }, decoded.value());
+}
+
+// The admin API's parser is the listener's, with a small limit for the body. Bytes read at once and one by
+// one have to give the same message.
+void check_http(std::string_view text) {
+  constexpr std::size_t kMaxBodyBytes = 4096;
+  BufferPool pool;
+  HttpReader reader(HttpReader::Side::Request, pool, kMaxBodyBytes);
+  HttpReader bytewise(HttpReader::Side::Request, pool, 64, 1 << 20);
+  const std::size_t used = reader.feed(text);
+  ASSERT_LE(used, text.size());
+  if (reader.whole()) {
+    ASSERT_LE(reader.message().body.size(), kMaxBodyBytes);
+  }
+  BufferChain body(pool);
+  for (std::size_t i = 0; i < text.size() && !bytewise.whole() && bytewise.fault() == HttpReader::Fault::None;
+       ++i) {
+    bytewise.feed(text.substr(i, 1));
+    if (bytewise.in_body()) body.add(bytewise.take_part());
+  }
+  if (!reader.whole()) return;
+  ASSERT_TRUE(bytewise.whole());
+  body.add(bytewise.take_part());
+  ASSERT_EQ(body.text(), reader.message().body.text());
+}
+
+}  // namespace
+}  // namespace puffinvane
+
+extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* bytes, std::size_t size) {
+  const std::string_view text(reinterpret_cast<const char*>(bytes), size);
+  puffinvane::check_packet(text);
+  puffinvane::check_http(text);
+  return 0;
+}
+
+#ifndef PUFFINVANE_LIBFUZZER
+namespace puffinvane {
+namespace {
+
+constexpr int kInputsPerSeed = 2000;
+
+// xorshift: the same inputs at every run.
+class Random {
+ public:
+  std::size_t below(std::size_t limit) {
+    state_ ^= state_ << 13;
+    state_ ^= state_ >> 7;
+    state_ ^= state_ << 17;
+    return state_ % limit;
+  }
+
+ private:
+  std::uint64_t state_ = 42;
+};
+
+std::vector<std::string> seeds() {
+  std::vector<std::string> seeds = encode_endpoint_list(test::endpoint_list_of(3));
+  seeds.push_back(test::encode_learned_state(test::learned_state_of(2))[0]);
+  const OperatorOverrides overrides = test::OverridesBuilder().excluded("a", 1).evacuated(2).build();
+  seeds.push_back(encode_message(OperatorOverridesMessage{overrides}));
+  seeds.push_back(encode_message(ConnectionMessage{ConnectionHistory::Used}));
+  seeds.push_back(encode_message(ListenerMessage{}));
+  seeds.push_back(encode_message(SnapshotCompleteMessage{}));
+  seeds.push_back("PUT /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1");
+  seeds.push_back(
+      "POST http://h/a?b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nT: v\r\n\r\n");
+  return seeds;
+}
+
+// Up to three replacements of a part by another part or by a random byte.
+std::string mutate(std::string text, Random& random) {
+  for (std::size_t left = random.below(4); left > 0 && !text.empty(); --left) {
+    std::string inserted;
+    if (random.below(2)) {
+      const std::size_t length = random.below(40);
+      const std::size_t start = random.below(text.size());
+      inserted = text.substr(start, length);
+    } else {
+      inserted = std::string(1, char(random.below(256)));
+    }
+    const std::size_t removed = random.below(4) ? random.below(9) : text.size();
+    text.replace(random.below(text.size()), removed, inserted);
+  }
+  return text;
+}
+
+TEST(AnyBytes, AreReadWithoutHarm) {
+  Random random;
+  int inputs = 0;
+
+  for (const std::string& seed : seeds()) {
+    for (int i = 0; i < kInputsPerSeed; ++i) {
+      const std::string text = mutate(seed, random);
+      LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(text.data()), text.size());
+      ASSERT_FALSE(testing::Test::HasFailure()) << "input " << inputs << ": " << text;
+      ++inputs;
+    }
+  }
+
+  EXPECT_EQ(inputs, 16000);
+}
+
+}  // namespace
+}  // namespace puffinvane
+#endif
--- /dev/null
+++ b/src/hot_restart/wire_format.h
@@ -0,0 +1,50 @@
+// The words of the control channel's packets, which are JSON objects. Encoder and decoder share them, and
+// nothing else reads them. Any change needs another kFormat, which processes of other versions refuse.
+#pragma once
+
+#include <cstdint>
+#include <string_view>
+
+namespace puffinvane::wire {
+
+inline constexpr std::int64_t kFormat = 1;
+
+// In every packet.
+inline constexpr const char* kFormatKey = "format";
+inline constexpr const char* kTypeKey = "say";
+
+// Values of kTypeKey.
+inline constexpr std::string_view kEndpointListType = "listing";
+inline constexpr std::string_view kOperatorOverridesType = "ordered";
+inline constexpr std::string_view kListenerType = "door";
+inline constexpr std::string_view kConnectionType = "caller";
+inline constexpr std::string_view kSnapshotCompleteType = "whole";
+inline constexpr std::string_view kServingType = "serving";
+inline constexpr std::string_view kLearnedStateType = "learned";
+
+// Endpoint list. `list` is a list as discovery sends it, with two more fields on the monotonic clock.
+inline constexpr const char* kListKey = "list";
+inline constexpr const char* kEndpointsKey = "endpoints";
+inline constexpr const char* kListReceivedAtKey = "heard_at";
+inline constexpr const char* kEndpointStartedAtKey = "started";
+
+// Operator overrides.
+inline constexpr const char* kExcludedKey = "out";
+inline constexpr const char* kEvacuatedSinceKey = "drains_since";
+
+// Connection.
+inline constexpr const char* kConnectionUsedKey = "asked";
+
+// Learned state. `endpoints` is an array of [name, started at, statistics, [statistics by class...]], where
+// statistics are [health, ejection, ejected until, last response, recovery limit, [samples...]] and a sample
+// is [completed at, latency ratio, depth, in time, failed]. `prefixes` is an array of
+// [name, [latencies...], [means...]].
+inline constexpr const char* kRequestClassesKey = "prefixes";
+inline constexpr const char* kLatenessKey = "late";
+inline constexpr const char* kCompletionRatesKey = "rates";
+inline constexpr const char* kStartedAtKey = "started";
+// The clock of the endpoints' start times. Former versions send Unix time and no such field.
+inline constexpr const char* kClockKey = "clock";
+inline constexpr const char* kMonotonicClock = "monotonic";
+
+}  // namespace puffinvane::wire
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -8,6 +8,8 @@
 #include <cstdlib>
 #include <iostream>
 
+#include "src/hot_restart/control_address.h"
+#include "src/hot_restart/takeover.h"
 #include "src/net/system_calls.h"
 #include "src/server/sidecar.h"
 
@@ -86,18 +88,24 @@
 
 namespace {
 
-constexpr double kTakeoverTimeout =
-    1;  // seconds: a predecessor answers within a turn of its loop, and a silent one never
+// A predecessor answers within a turn of its loop, and one that is stopped never does.
+constexpr double kTakeoverTimeoutSeconds = 1;
 
 Takeover take_over(Log& log, Assignment& assignment) {
-  std::string why;
-  std::optional<Takeover> takeover = request_takeover(control_path(assignment.listen), kTakeoverTimeout, why);
-  if (!why.empty())
-    log.warning() << assignment.name << " starts alone: there is an older process, but " << why;
-  if (!takeover) return {};
-  if (takeover->list && takeover->list->index >= assignment.known.index) assignment.known = *takeover->list;
-  log.info() << assignment.name << " takes over from an older process";
-  return std::move(*takeover);
+  Result<Takeover, TakeoverError> requested =
+      request_takeover(control_path(assignment.listen), kTakeoverTimeoutSeconds);
+  if (!requested) {
+    if (requested.error() != TakeoverError::NoPredecessor) {
+      log.event(Level::Warning, "hot_restart.takeover_failed")
+          .with("name", assignment.name)
+          .with("reason", to_string(requested.error()));
+    }
+    return {};
+  }
+  Takeover& takeover = requested.value();
+  if (takeover.list && takeover.list->index >= assignment.known.index) assignment.known = *takeover.list;
+  log.event(Level::Info, "hot_restart.takeover_received").with("name", assignment.name);
+  return std::move(takeover);
 }
 
 }  // namespace
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "src/admin/telemetry.h"
+#include "src/hot_restart/control_address.h"
 #include "src/http/headers.h"
 
 namespace puffinvane {
@@ -58,7 +59,7 @@
 
 void Sidecar::start() {
   started_ = loop().now();
-  on_overrides(takeover_.overrides);
+  on_operator_overrides(takeover_.overrides);
   if (takeover_.list && takeover_.list->timed) starts_.take_over(*takeover_.list);
   starts_.recall(assignment_.known, started_, {Loop::unix_offset(), {}});
   forwarder_.know(assignment_.known);
@@ -79,7 +80,7 @@
   }
   if (fleet_) has_predecessor_ ? fleet_->open_in_turn() : fleet_->open(), look_at_shares();
   opened();
-  if (hot_restart_) hot_restart_->serving();
+  if (hot_restart_) hot_restart_->on_serving();
 }
 
 void Sidecar::try_listeners() {
@@ -151,15 +152,15 @@
 
 void Sidecar::on_override() {
   look_at_drain();
-  if (hot_restart_) hot_restart_->send_overrides();
+  if (hot_restart_) hot_restart_->send_operator_overrides();
 }
 
-void Sidecar::on_overrides(const OperatorOverrides& overrides) {
-  operations_.take_over(overrides.out, overrides.drains_since);
+void Sidecar::on_operator_overrides(const OperatorOverrides& overrides) {
+  operations_.take_over(overrides.excluded_since_s, overrides.evacuated_since_s);
   look_at_drain();
 }
 
-EndpointList Sidecar::listing() const {
+EndpointList Sidecar::endpoint_list() const {
   EndpointList list = forwarder_.listing();
   starts_.annotate(list);
   return list;
@@ -173,8 +174,10 @@
 void Sidecar::hands_over() {
   // It died before it had all: the front finds the others, and who is connected hears that this was the last.
   if (!has_successor()) return downstream_.last_call(true), downstream_.close_idle();
-  downstream_.hand_over(
-      [this](GSocket* client, bool asked) { return hot_restart_->hand_over(client, asked); });
+  downstream_.hand_over([this](GSocket* connection, bool asked) {
+    const ConnectionHistory history = asked ? ConnectionHistory::Used : ConnectionHistory::Unused;
+    return hot_restart_->try_send_connection(connection, history);
+  });
 }
 
 void Sidecar::look_at_drain() {
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -7,6 +7,7 @@
 #include "src/admin/shadow_policy.h"
 #include "src/discovery/discovery_watch.h"
 #include "src/hot_restart/hot_restart.h"
+#include "src/hot_restart/takeover.h"
 #include "src/proxy/downstream_connections.h"
 #include "src/proxy/request_forwarder.h"
 #include "src/server/lifecycle.h"
@@ -39,7 +40,8 @@
   void last_call() override { downstream_.last_call(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool empty() const override {
-    return downstream_.empty() && listener_.shut() && !(hot_restart_ && hot_restart_->transferring());
+    return downstream_.empty() && listener_.shut() &&
+           !(hot_restart_ && hot_restart_->is_sending_learned_state());
   }
   void ends() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
@@ -54,16 +56,18 @@
   std::string fleet() const override { return fleet_ ? fleet_->shown(part_) : ""; }
   void on_members() override { members_changed_ = true; }
   void look_at_shares();
-  GSocket* listener() override { return listener_.socket(); }
-  EndpointList listing() const override;
-  OperatorOverrides overrides() const override { return {operations_.all_out(), operations_.drains_since()}; }
-  void on_overrides(const OperatorOverrides& overrides) override;
-  LearnedState learned() const override { return forwarder_.learned(); }
-  void on_learned(const LearnedState& part) override { forwarder_.inherit(part, 1); }
-  void on_connection(Ref<GSocket> socket, bool asked) override {
-    downstream_.take_over(std::move(socket), asked);
+  GSocket* listener_socket() override { return listener_.socket(); }
+  EndpointList endpoint_list() const override;
+  OperatorOverrides operator_overrides() const override {
+    return {operations_.all_out(), operations_.drains_since()};
   }
-  void on_company(bool two) override { limiter_.share(two); }
+  void on_operator_overrides(const OperatorOverrides& overrides) override;
+  LearnedState learned_state() const override { return forwarder_.learned(); }
+  void on_learned_state(const LearnedState& part) override { forwarder_.inherit(part, 1); }
+  void on_connection(Ref<GSocket> socket, ConnectionHistory history) override {
+    downstream_.take_over(std::move(socket), history == ConnectionHistory::Used);
+  }
+  void on_peer_presence(PeerPresence presence) override { limiter_.share(presence == PeerPresence::Present); }
   void look_at_drain();
   bool informed() const;
 
