--- a/src/hot_restart/channel_test.cpp
+++ b/src/hot_restart/channel_test.cpp
@@ -3,33 +3,24 @@
 #include "src/hot_restart/channel.h"
 
 #include <gtest/gtest.h>
-#include <sys/socket.h>
 #include <unistd.h>
 
-#include <array>
 #include <memory>
 #include <sstream>
 #include <string>
 #include <vector>
 
+#include "src/hot_restart/socket_pair.h"
+
 namespace puffinvane {
 namespace {
 
+using test::connected_sockets;
+using test::SocketPair;
+
 constexpr double kDeadlineSeconds = 5;
 constexpr int kDescriptorLimit = 64;
 
-struct SocketPair {
-  Ref<GSocket> first;
-  Ref<GSocket> second;
-};
-
-SocketPair connected_sockets(int type) {
-  std::array<int, 2> descriptors{};
-  EXPECT_EQ(socketpair(AF_UNIX, type | SOCK_CLOEXEC, 0, descriptors.data()), 0);
-  return {Ref<GSocket>(g_socket_new_from_fd(descriptors[0], nullptr)),
-          Ref<GSocket>(g_socket_new_from_fd(descriptors[1], nullptr))};
-}
-
 class RecordingOwner : public Channel::Owner {
  public:
   void on_packet(Channel&, Packet packet) override { packets.push_back(std::move(packet)); }
