--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -230,7 +230,7 @@
   int code = Good;
   std::vector<std::string> files;
   std::string before, after, listener, level = "info", log_format = "plain", site;
-  double stop_timeout = Lifecycle::kKilledAfter;
+  double stop_timeout = Lifecycle::kKillTimeoutSeconds;
   bool as_json = false, in_place = false;
   Asked asked;
 
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -5,82 +5,106 @@
 namespace puffinvane {
 
 namespace {
-// Clients hear of a planned restart late: they are let in for this long after it was announced.
-constexpr double kListenTime = 0.42;
-// The platform's SIGKILL comes this many seconds after the longest client timeout, counted from SIGTERM.
-constexpr double kKilledBy = 0.7;
-// Seconds that this process may be held up for between reading its clock and writing (the platform's terms),
-// and for the turn of the loop after it: the last answers are written this long before SIGKILL.
-constexpr double kHeldUp = 0.15, kTurn = 0.02;
-constexpr double kBeforeKill = kHeldUp + kTurn, kGoneBy = kKilledBy - kBeforeKill;
-constexpr double kLook = 0.01;
+
+// Clients learn of a planned restart only some time after it was announced.
+constexpr double kAcceptSeconds = 0.42;
+// The platform sends SIGKILL this long after the longest client timeout, counted from SIGTERM.
+constexpr double kKillAfterLongestTimeoutSeconds = 0.7;
+// The platform may stall this process for that long between reading its clock and writing.
+constexpr double kMaxStallSeconds = 0.15;
+// For the turn of the loop after a stall.
+constexpr double kLoopTurnSeconds = 0.02;
+// The last responses are written this long before SIGKILL.
+constexpr double kExitBeforeKillSeconds = kMaxStallSeconds + kLoopTurnSeconds;
+constexpr double kExitAfterLongestTimeoutSeconds = kKillAfterLongestTimeoutSeconds - kExitBeforeKillSeconds;
+constexpr double kDrainPollSeconds = 0.01;
+
 }  // namespace
 
-const Transition<Lifecycle, Lifecycle::Phase, Lifecycle::Event> Lifecycle::kRows[] = {
-    {Phase::Starting, Event::Opened, Phase::Serving, &Lifecycle::serve},
-    // The listener may be another's yet for some seconds, and a reload that came then was lost.
-    {Phase::Starting, Event::Reload, Phase::Starting, &Lifecycle::read_anew},
-    {Phase::Starting, Event::Terminate, Phase::Stopped, &Lifecycle::quit},
-    {Phase::Serving, Event::Reload, Phase::Serving, &Lifecycle::read_anew},
-    {Phase::Serving, Event::Terminate, Phase::Leaving, &Lifecycle::leave},
-    {Phase::Serving, Event::Succeeded, Phase::HandingOver, &Lifecycle::hand_over},
-    {Phase::HandingOver, Event::Reload, Phase::HandingOver, &Lifecycle::read_anew},
-    {Phase::HandingOver, Event::Emptied, Phase::Stopped, &Lifecycle::quit},
-    {Phase::HandingOver, Event::Overdue, Phase::Stopped, &Lifecycle::quit},
-    {Phase::Leaving, Event::Reload, Phase::Leaving, &Lifecycle::read_anew},
-    {Phase::Leaving, Event::ListenTime, Phase::Staying, &Lifecycle::stay},
-    {Phase::Staying, Event::Reload, Phase::Staying, &Lifecycle::read_anew},
-    {Phase::Staying, Event::Emptied, Phase::Stopped, &Lifecycle::quit},
-    {Phase::Staying, Event::LastCall, Phase::Finishing, &Lifecycle::finish},
-    {Phase::Staying, Event::Overdue, Phase::Stopped, &Lifecycle::quit},
-    {Phase::Finishing, Event::Reload, Phase::Finishing, &Lifecycle::read_anew},
-    {Phase::Finishing, Event::Emptied, Phase::Stopped, &Lifecycle::quit},
-    {Phase::Finishing, Event::Overdue, Phase::Stopped, &Lifecycle::quit},
+// A reload is heeded in every phase: while starting, the listener may be another process's for some seconds.
+const Transition<Lifecycle, Lifecycle::Phase, Lifecycle::Event> Lifecycle::kTransitions[] = {
+    {Phase::Starting, Event::ListenersOpened, Phase::Serving, &Lifecycle::begin_serving},
+    {Phase::Starting, Event::ReloadRequested, Phase::Starting, &Lifecycle::reload},
+    {Phase::Starting, Event::TerminateRequested, Phase::Stopped, &Lifecycle::stop},
+    {Phase::Serving, Event::ReloadRequested, Phase::Serving, &Lifecycle::reload},
+    {Phase::Serving, Event::TerminateRequested, Phase::DrainingOpen, &Lifecycle::begin_draining},
+    {Phase::Serving, Event::TerminateRequestedWithSuccessor, Phase::DrainingToSuccessor,
+     &Lifecycle::begin_handing_over},
+    {Phase::DrainingToSuccessor, Event::ReloadRequested, Phase::DrainingToSuccessor, &Lifecycle::reload},
+    {Phase::DrainingToSuccessor, Event::Drained, Phase::Stopped, &Lifecycle::stop},
+    {Phase::DrainingToSuccessor, Event::DeadlinePassed, Phase::Stopped, &Lifecycle::stop},
+    {Phase::DrainingOpen, Event::ReloadRequested, Phase::DrainingOpen, &Lifecycle::reload},
+    {Phase::DrainingOpen, Event::AcceptTimeElapsed, Phase::DrainingClosed, &Lifecycle::stop_accepting},
+    {Phase::DrainingClosed, Event::ReloadRequested, Phase::DrainingClosed, &Lifecycle::reload},
+    {Phase::DrainingClosed, Event::Drained, Phase::Stopped, &Lifecycle::stop},
+    {Phase::DrainingClosed, Event::FinalResponsesDue, Phase::DrainingFinal,
+     &Lifecycle::begin_final_responses},
+    {Phase::DrainingClosed, Event::DeadlinePassed, Phase::Stopped, &Lifecycle::stop},
+    {Phase::DrainingFinal, Event::ReloadRequested, Phase::DrainingFinal, &Lifecycle::reload},
+    {Phase::DrainingFinal, Event::Drained, Phase::Stopped, &Lifecycle::stop},
+    {Phase::DrainingFinal, Event::DeadlinePassed, Phase::Stopped, &Lifecycle::stop},
 };
 
-void Lifecycle::turn(Event event) { apply_transition(kRows, *this, phase_, event); }
-void Lifecycle::opened() { turn(Event::Opened); }
-void Lifecycle::reload() { turn(Event::Reload); }
-void Lifecycle::terminate() { turn(has_successor() ? Event::Succeeded : Event::Terminate); }
-
-double Lifecycle::leave_until(double signalled) {
-  Patience has = patience();
-  double gone = signalled + std::min(has.longest + kGoneBy, has.killed_after - kBeforeKill);
-  leaves(gone - kLook);
-  loop_.at(gone, [this] { turn(Event::Overdue); });
-  return gone;
+void Lifecycle::apply_event(Event event) { apply_transition(kTransitions, *this, phase_, event); }
+
+void Lifecycle::on_listeners_open() { apply_event(Event::ListenersOpened); }
+
+void Lifecycle::on_reload_signal() { apply_event(Event::ReloadRequested); }
+
+void Lifecycle::on_terminate_signal() {
+  apply_event(has_successor() ? Event::TerminateRequestedWithSuccessor : Event::TerminateRequested);
+}
+
+void Lifecycle::fail(std::string reason) {
+  failure_ = std::move(reason);
+  loop_.quit();
+}
+
+// Returns the time at which the process stops, drained or not.
+double Lifecycle::start_drain_deadline(double signalled_at_s) {
+  const DrainLimits limits = drain_limits();
+  const double after_signal_s = std::min(limits.longest_client_timeout_s + kExitAfterLongestTimeoutSeconds,
+                                         limits.kill_timeout_s - kExitBeforeKillSeconds);
+  const double deadline_s = signalled_at_s + after_signal_s;
+  on_draining(deadline_s - kDrainPollSeconds);
+  loop_.at(deadline_s, [this] { apply_event(Event::DeadlinePassed); });
+  return deadline_s;
 }
 
-void Lifecycle::leave() {
-  // SIGKILL counts from when SIGTERM came, also where this process had no core just then.
-  double signalled = loop_.now() - loop_.stalled(), gone = leave_until(signalled),
-         shut = signalled + kListenTime;
-  loop_.at(shut, [this] { turn(Event::ListenTime); });
-  // The others may be away as well: who is connected here is served while an answer in time can be hoped for.
-  double last_call = std::max(gone - patience().target, shut + kLook);
-  loop_.at(last_call, [this] { turn(Event::LastCall); });
+void Lifecycle::begin_draining() {
+  // SIGKILL counts from when SIGTERM was sent, also if this process was stalled then.
+  const double signalled_at_s = loop_.now() - loop_.stalled();
+  const double deadline_s = start_drain_deadline(signalled_at_s);
+  const double accept_until_s = signalled_at_s + kAcceptSeconds;
+  loop_.at(accept_until_s, [this] { apply_event(Event::AcceptTimeElapsed); });
+  // Connected clients may have nowhere else to go: they are served while a response in time is possible.
+  const double final_responses_at_s =
+      std::max(deadline_s - drain_limits().longest_latency_objective_s, accept_until_s + kDrainPollSeconds);
+  loop_.at(final_responses_at_s, [this] { apply_event(Event::FinalResponsesDue); });
 }
 
-void Lifecycle::hand_over() {
-  leave_until(loop_.now() - loop_.stalled());
-  closes_listeners();
-  see_if_empty();
+void Lifecycle::begin_handing_over() {
+  start_drain_deadline(loop_.now() - loop_.stalled());
+  stop_accepting();
 }
 
-void Lifecycle::stay() {
-  closes_listeners();
-  see_if_empty();
+void Lifecycle::stop_accepting() {
+  stop_listening();
+  check_drained();
 }
 
-void Lifecycle::see_if_empty() {
-  if (phase_ == Phase::Finishing) close_idle_downstream();
-  if (phase_ == Phase::HandingOver) hands_over();
-  if (empty()) return turn(Event::Emptied);
-  loop_.at(loop_.now() + kLook, [this] { see_if_empty(); });
+void Lifecycle::check_drained() {
+  if (phase_ == Phase::DrainingFinal) close_idle_downstream();
+  if (phase_ == Phase::DrainingToSuccessor) hand_over_connections();
+  if (is_drained()) {
+    apply_event(Event::Drained);
+    return;
+  }
+  loop_.at(loop_.now() + kDrainPollSeconds, [this] { check_drained(); });
 }
 
-void Lifecycle::quit() {
-  ends();
+void Lifecycle::stop() {
+  on_stopped();
   loop_.quit();
 }
 
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -1,5 +1,5 @@
-// The phases of a program that serves, from start to exit: states, and the rows of a table that move it on.
-// What it serves is somebody else's.
+// The phases of a process that serves, from start to exit, and the one table that moves between them. What is
+// served, and how connections are drained, is the subclass's.
 #pragma once
 
 #include <string>
@@ -10,61 +10,93 @@
 
 namespace puffinvane {
 
+// Base of a process that serves. Owned by run_program; everything runs on the event loop's thread. Errors at
+// the start end the process: start() throws, fail() ends the loop.
 class Lifecycle {
  public:
+  // From SIGTERM to the platform's SIGKILL, which follows 0.7 s after the longest client timeout, of which
+  // the platform counts 3 s at most.
+  static constexpr double kKillTimeoutSeconds = 3.7;
+
   explicit Lifecycle(Loop& loop) : loop_(loop) {}
   virtual ~Lifecycle() = default;
 
-  // The platform's SIGKILL comes 0.7 s after the longest client timeout, of which it counts 3 s at most.
-  static constexpr double kKilledAfter = 3.7;
-
-  virtual void start() = 0;                              // throws std::runtime_error if it can't listen
-  const std::string& failed() const { return failed_; }  // why it ended before it served; empty: it did not
-  void terminate();                                      // leaves once all that was taken is answered
-  void reload();  // reads its file anew; one that can't be used changes nothing
+  // Opens the listeners, now or within some seconds. Throws std::runtime_error if they can't be opened.
+  virtual void start() = 0;
+  // Why the process ended before it served; empty if it did not.
+  const std::string& failure() const { return failure_; }
+  // SIGTERM, SIGINT: drains and stops once every accepted request is answered.
+  void on_terminate_signal();
+  // SIGHUP: reads the settings again.
+  void on_reload_signal();
 
  protected:
-  struct Patience {
-    double longest = 0, target = 0;      // seconds: the longest client timeout and latency objective
-    double killed_after = kKilledAfter;  // SIGTERM to SIGKILL, however long requests were to have
+  // What bounds the time that draining may take.
+  struct DrainLimits {
+    double longest_client_timeout_s = 0;
+    double longest_latency_objective_s = 0;
+    double kill_timeout_s = kKillTimeoutSeconds;  // from SIGTERM to SIGKILL, however long requests may take
   };
-  void opened();
-  void fail(std::string why) { failed_ = std::move(why), loop_.quit(); }
+
+  // The subclass calls these from its start(): all listeners are open; the process can't serve and ends.
+  void on_listeners_open();
+  void fail(std::string reason);
   Loop& loop() { return loop_; }
   const Loop& loop() const { return loop_; }
 
-  virtual void serves() = 0;
-  virtual void reads_anew() = 0;
-  virtual Patience patience() const = 0;
-  virtual void leaves(double gone) = 0;  // no request, also of those in hand, has time beyond that
-  virtual void closes_listeners() = 0;
-  virtual void last_call() = 0;
+  virtual void on_serving() = 0;
+  // Settings that can't be used change nothing.
+  virtual void reload_settings() = 0;
+  virtual DrainLimits drain_limits() const = 0;
+  // No request, also of those accepted already, has time beyond the deadline, on the loop's clock.
+  virtual void on_draining(double deadline_s) = 0;
+  virtual void stop_listening() = 0;
+  // From here on each response is the last on its downstream connection.
+  virtual void end_connections_after_response() = 0;
   virtual void close_idle_downstream() = 0;
-  virtual bool empty() const = 0;
-  virtual void ends() = 0;
-  // Where a new process has come beside this one: whether it will take all over, and giving it what it can
-  // take now.
+  virtual bool is_drained() const = 0;
+  virtual void on_stopped() = 0;
+  // Whether a new process runs beside this one and takes over from it.
   virtual bool has_successor() const { return false; }
-  virtual void hands_over() {}
+  // Gives the successor the connections that can be given to it now.
+  virtual void hand_over_connections() {}
 
  private:
-  enum class Phase { Starting, Serving, Leaving, Staying, Finishing, HandingOver, Stopped };
-  enum class Event { Opened, Reload, Terminate, Succeeded, ListenTime, LastCall, Emptied, Overdue };
-  static const Transition<Lifecycle, Phase, Event> kRows[];
-  void turn(Event event);
-  void serve() { serves(); }
-  void read_anew() { reads_anew(); }
-  double leave_until(double signalled);  // told: when SIGTERM came
-  void leave();
-  void hand_over();
-  void stay();
-  void finish() { last_call(); }
-  void quit();
-  void see_if_empty();
+  enum class Phase {
+    Starting,
+    Serving,
+    DrainingOpen,         // listeners still accept, as clients learn late of a planned restart
+    DrainingClosed,       // listeners are closed; downstream connections are still kept
+    DrainingFinal,        // responses end their connections, and idle connections are closed
+    DrainingToSuccessor,  // listeners are the successor's; connections go to it as they become idle
+    Stopped,
+  };
+  enum class Event {
+    ListenersOpened,
+    ReloadRequested,
+    TerminateRequested,
+    TerminateRequestedWithSuccessor,
+    AcceptTimeElapsed,
+    FinalResponsesDue,
+    Drained,
+    DeadlinePassed,
+  };
+  static const Transition<Lifecycle, Phase, Event> kTransitions[];
+
+  void apply_event(Event event);
+  void begin_serving() { on_serving(); }
+  void reload() { reload_settings(); }
+  void begin_draining();
+  void begin_handing_over();
+  void stop_accepting();
+  void begin_final_responses() { end_connections_after_response(); }
+  void stop();
+  double start_drain_deadline(double signalled_at_s);
+  void check_drained();
 
   Loop& loop_;
   Phase phase_ = Phase::Starting;
-  std::string failed_;
+  std::string failure_;
 };
 
 }  // namespace puffinvane
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -20,8 +20,9 @@
   int signal;
   void (Lifecycle::*act)();
 };
-constexpr Heeded kHeeded[] = {
-    {SIGTERM, &Lifecycle::terminate}, {SIGINT, &Lifecycle::terminate}, {SIGHUP, &Lifecycle::reload}};
+constexpr Heeded kHeeded[] = {{SIGTERM, &Lifecycle::on_terminate_signal},
+                              {SIGINT, &Lifecycle::on_terminate_signal},
+                              {SIGHUP, &Lifecycle::on_reload_signal}};
 
 // Held back from the very start: one that comes while the program still reads its file would end it.
 sigset_t hold_back() {
@@ -77,7 +78,7 @@
     Signals signals(*loop, *lifecycle, heeded);
     lifecycle->start();
     loop->run();
-    if (!lifecycle->failed().empty()) throw std::runtime_error(lifecycle->failed());
+    if (!lifecycle->failure().empty()) throw std::runtime_error(lifecycle->failure());
     return 0;
   } catch (const std::exception& fault) {
     if (log.as_json()) log.event(Level::Error, "program.failed").with("why", fault.what());
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -63,7 +63,7 @@
       killed_after_(killed_after),
       limiter_(loop, router_.site().limits.memory / kBufferShare),
       downstream_(loop, limiter_, *this, router_.site().limits.body) {
-  downstream_.longest_wait(patience().longest);
+  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
 }
 
 void Server::start() {
@@ -77,10 +77,10 @@
   }
   tries_ = 0;
   set_pools(router_.site());
-  opened();
+  on_listeners_open();
 }
 
-void Server::serves() {
+void Server::on_serving() {
   for (const Opened& one : listeners_) {
     loop()
         .log()
@@ -99,7 +99,7 @@
 
 // ---- versions
 
-void Server::reads_anew() {
+void Server::reload_settings() {
   std::string why;
   std::optional<site::Site> read = read_(why);
   try {
@@ -115,7 +115,7 @@
     set_pools(next.site());
     if (!gone_) close_listeners(next.site());  // once it leaves, all of them are closed or about to be
     router_ = std::move(next);
-    downstream_.longest_wait(patience().longest);
+    downstream_.longest_wait(drain_limits().longest_client_timeout_s);
     loop()
         .log()
         .event(Level::Info, "site.reloaded")
@@ -127,7 +127,7 @@
     tries_ = 0;
   } catch (const std::exception& fault) {
     if (dynamic_cast<const Listener::LocalWant*>(&fault) && ++tries_ <= kMostTries)
-      return loop().at(loop().now() + kTryAgain, alive_.guard([this] { reads_anew(); }));
+      return loop().at(loop().now() + kTryAgain, alive_.guard([this] { reload_settings(); }));
     tries_ = 0;
     loop().log().event(Level::Warning, "site.kept").with("version", version_).with("why", fault.what());
   }
@@ -274,28 +274,30 @@
 
 // ---- leaving
 
-Lifecycle::Patience Server::patience() const {
-  Patience patience;
-  patience.killed_after = killed_after_;
+Lifecycle::DrainLimits Server::drain_limits() const {
+  DrainLimits limits;
+  limits.kill_timeout_s = killed_after_;
   for (const RequestClass& request_class : router_.site().request_classes) {
-    patience.longest = std::max(patience.longest, request_class.client_timeout_s);
-    patience.target = std::max(patience.target, request_class.latency_objective_s);
+    limits.longest_client_timeout_s =
+        std::max(limits.longest_client_timeout_s, request_class.client_timeout_s);
+    limits.longest_latency_objective_s =
+        std::max(limits.longest_latency_objective_s, request_class.latency_objective_s);
   }
-  return patience;
+  return limits;
 }
 
-void Server::leaves(double gone) {
+void Server::on_draining(double deadline_s) {
   loop().log().event(Level::Info, "site.leaving").with("site", router_.site().name);
-  gone_ = gone;
-  for (auto& [name, running] : pools_) running->forwarder->leave(gone);
-  for (auto& running : retired_) running->forwarder->leave(gone);
+  gone_ = deadline_s;
+  for (auto& [name, running] : pools_) running->forwarder->leave(deadline_s);
+  for (auto& running : retired_) running->forwarder->leave(deadline_s);
 }
 
-void Server::closes_listeners() {
+void Server::stop_listening() {
   for (Opened& one : listeners_) one.listener->close();
 }
 
-void Server::ends() {
+void Server::on_stopped() {
   for (auto& [name, running] : pools_) {
     if (running->watch) running->watch->close();
   }
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -24,7 +24,7 @@
 
   // killed_after: seconds from SIGTERM until whoever sent it kills.
   Server(Loop& loop, site::Site site, Read read, std::uint64_t seed, PolicyMaker make,
-         double killed_after = kKilledAfter);
+         double killed_after = kKillTimeoutSeconds);
   void start() override;
 
  private:
@@ -45,18 +45,18 @@
     std::unique_ptr<Listener> listener;
   };
 
-  void serves() override;
-  void reads_anew() override;
-  Patience patience() const override;
-  void leaves(double gone) override;
-  void closes_listeners() override;
-  void last_call() override { downstream_.last_call(true); }
+  void on_serving() override;
+  void reload_settings() override;
+  DrainLimits drain_limits() const override;
+  void on_draining(double deadline_s) override;
+  void stop_listening() override;
+  void end_connections_after_response() override { downstream_.last_call(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
-  bool empty() const override {
+  bool is_drained() const override {
     return downstream_.empty() &&
            std::ranges::all_of(listeners_, [](const Opened& one) { return one.listener->shut(); });
   }
-  void ends() override;
+  void on_stopped() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
 
   void take(DownstreamConnection& downstream, HttpMessage request, const routing::Decision& decision);
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -45,7 +45,7 @@
              assignment_.seed),
       operations_(*this),
       takeover_(std::move(takeover)) {
-  downstream_.longest_wait(patience().longest);
+  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
   if (assignment_.fleet)
     fleet_.emplace(loop, *assignment_.fleet, Loop::unix_offset(), assignment_.seed,
                    static_cast<fleet::Fleet::Owner&>(*this));
@@ -75,11 +75,11 @@
     if (takeover_.listener) listener_.adopt(std::move(takeover_.listener));
     else listener_.open(assignment_.listen, admin_ ? Listener::Beside::Another : Listener::Beside::Nobody);
   } catch (const Listener::NotNow&) {
-    if (loop().now() > started_ + kKilledAfter) throw;
+    if (loop().now() > started_ + kKillTimeoutSeconds) throw;
     return loop().at(loop().now() + kListenRetry, alive_.guard([this] { try_listeners(); }));
   }
   if (fleet_) has_predecessor_ ? fleet_->open_in_turn() : fleet_->open(), look_at_shares();
-  opened();
+  on_listeners_open();
   if (hot_restart_) hot_restart_->on_serving();
 }
 
@@ -91,14 +91,14 @@
   }
 }
 
-void Sidecar::serves() {
+void Sidecar::on_serving() {
   serving_ = true;
   if (fleet_) fleet_->serving();
   loop().log().info() << assignment_.name << " serves tier " << assignment_.deployment.tier << " at "
                       << assignment_.listen << ", " << assignment_.known.entries.size() << " endpoints known";
 }
 
-void Sidecar::reads_anew() {
+void Sidecar::reload_settings() {
   try {
     std::string discovery = load_assignment(assigned_in_.c_str(), OnWant::Throw).discovery;
     // Asked for at what is no address nobody would answer, and the discovery that did was given up for it.
@@ -110,7 +110,7 @@
   } catch (const NotReadNow& fault) {
     if (unread_++ == 0)
       loop().log().warning() << assignment_.name << " reads its file later: " << fault.what();
-    loop().at(loop().now() + kReadAgain, alive_.guard([this] { reads_anew(); }));
+    loop().at(loop().now() + kReadAgain, alive_.guard([this] { reload_settings(); }));
   } catch (const std::exception& fault) {
     unread_ = 0;
     // Whoever wrote it can't see that it was no use but here; the pending requests must not pay for it.
@@ -118,23 +118,25 @@
   }
 }
 
-Lifecycle::Patience Sidecar::patience() const {
-  Patience patience;
+Lifecycle::DrainLimits Sidecar::drain_limits() const {
+  DrainLimits limits;
   for (const RequestClass& request_class : assignment_.deployment.request_classes) {
-    patience.longest = std::max(patience.longest, request_class.client_timeout_s);
-    patience.target = std::max(patience.target, request_class.latency_objective_s);
+    limits.longest_client_timeout_s =
+        std::max(limits.longest_client_timeout_s, request_class.client_timeout_s);
+    limits.longest_latency_objective_s =
+        std::max(limits.longest_latency_objective_s, request_class.latency_objective_s);
   }
-  return patience;
+  return limits;
 }
 
-void Sidecar::leaves(double gone) {
+void Sidecar::on_draining(double deadline_s) {
   loop().log().info() << assignment_.name << " leaves";
   leaving_ = true;
   if (fleet_) has_successor() ? fleet_->let_go() : fleet_->leaving();
-  forwarder_.leave(gone);
+  forwarder_.leave(deadline_s);
 }
 
-void Sidecar::ends() {
+void Sidecar::on_stopped() {
   loop().log().info() << assignment_.name << " is gone";
   watch_.close();
   if (fleet_) fleet_->close();
@@ -171,7 +173,7 @@
   return watch_.listed() || takeover_.list || loop().now() - started_ > kFirstList;
 }
 
-void Sidecar::hands_over() {
+void Sidecar::hand_over_connections() {
   // It died before it had all: the front finds the others, and who is connected hears that this was the last.
   if (!has_successor()) return downstream_.last_call(true), downstream_.close_idle();
   downstream_.hand_over([this](GSocket* connection, bool asked) {
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -30,20 +30,20 @@
  private:
   void open_listeners();  // throws std::runtime_error
   void try_listeners();
-  void serves() override;
-  void reads_anew() override;
-  Patience patience() const override;
-  void leaves(double gone) override;
-  void closes_listeners() override { has_successor() ? listener_.let_go() : listener_.close(); }
+  void on_serving() override;
+  void reload_settings() override;
+  DrainLimits drain_limits() const override;
+  void on_draining(double deadline_s) override;
+  void stop_listening() override { has_successor() ? listener_.let_go() : listener_.close(); }
   bool has_successor() const override { return hot_restart_ && hot_restart_->has_successor(); }
-  void hands_over() override;
-  void last_call() override { downstream_.last_call(true); }
+  void hand_over_connections() override;
+  void end_connections_after_response() override { downstream_.last_call(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
-  bool empty() const override {
+  bool is_drained() const override {
     return downstream_.empty() && listener_.shut() &&
            !(hot_restart_ && hot_restart_->is_sending_learned_state());
   }
-  void ends() override;
+  void on_stopped() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
 
   bool knows(std::string_view endpoint) const override { return forwarder_.knows(endpoint); }
