--- a/src/hot_restart/hot_restart_test.cpp
+++ b/src/hot_restart/hot_restart_test.cpp
@@ -1,177 +1,265 @@
-// What one process of a sidecar tells the next: said and read back, and any bytes at all in its place. The
-// same entry serves libFuzzer and, with a main of its own, what can be made of good packets and calls.
-#undef NDEBUG
-#include <cassert>
-#include <cstdint>
-#include <cstdio>
+// A hot restart with stand-ins for the peers: what is sent, in which order, and what a message changes.
+#include "src/hot_restart/hot_restart.h"
+
+#include <gtest/gtest.h>
+
+#include <cstdlib>
+#include <filesystem>
+#include <memory>
+#include <sstream>
 #include <string>
 #include <vector>
 
-#include "src/hot_restart/message.h"
-#include "src/http/http.h"
-
-using namespace puffinvane;
-
-extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* bytes, std::size_t size) {
-  std::string_view text(reinterpret_cast<const char*>(bytes), size);
-  if (std::optional<ControlMessage> parsed = read_control_message(text)) {
-    std::optional<ControlMessage> again = read_control_message(write_overrides(parsed->overrides));
-    assert(again && again->overrides.out.size() == parsed->overrides.out.size());
-    for (const LearnedState::EndpointState& one : parsed->learned.endpoints)
-      assert(one.whole.health != Health::Removed && one.whole.samples.size() <= 64);
-    if (parsed->what == ControlMessage::What::Listing)
-      assert(parsed->list.entries.size() == parsed->list.addresses.size() &&
-             parsed->list.entries.size() == parsed->list.stated_start_ms.size());
+#include "src/hot_restart/control_address.h"
+#include "src/hot_restart/message_builders.h"
+#include "src/hot_restart/socket_pair.h"
+
+namespace puffinvane {
+namespace {
+
+using test::connected_sockets;
+using test::SocketPair;
+
+constexpr double kDeadlineSeconds = 5;
+constexpr int kDescriptorLimit = 64;
+
+class RecordingOwner : public HotRestart::Owner {
+ public:
+  GSocket* listener_socket() override { return listener.get(); }
+  EndpointList endpoint_list() const override { return test::endpoint_list_of(3); }
+  OperatorOverrides operator_overrides() const override { return overrides; }
+  LearnedState learned_state() const override { return learned; }
+  void on_learned_state(const LearnedState& part) override { learned_parts.push_back(part); }
+  void on_operator_overrides(const OperatorOverrides& received) override { overrides = received; }
+  void on_connection(Ref<GSocket>, ConnectionHistory history) override { connections.push_back(history); }
+  void on_peer_presence(PeerPresence presence) override { presences.push_back(presence); }
+
+  Ref<GSocket> listener;
+  OperatorOverrides overrides;
+  LearnedState learned = test::learned_state_of(2);
+  std::vector<LearnedState> learned_parts;
+  std::vector<ConnectionHistory> connections;
+  std::vector<PeerPresence> presences;
+};
+
+// The far end of a control channel: sends packets and keeps what it receives.
+class Peer : public Channel::Owner {
+ public:
+  Peer(Loop& loop, Ref<GSocket> socket) : channel_(loop, *this, std::move(socket)) {}
+  void on_packet(Channel&, Packet packet) override { packets.push_back(std::move(packet)); }
+  void on_channel_closed(Channel&) override { closed = true; }
+  void send(const ControlMessage& message) { channel_.send(encode_message(message)); }
+  void send_text(std::string text) { channel_.send(std::move(text)); }
+
+  std::vector<std::string> texts() const {
+    std::vector<std::string> texts;
+    for (const Packet& packet : packets) texts.push_back(packet.text);
+    return texts;
   }
-  // The admin API's parser is the listener's; a call's body is small.
-  BufferPool pool;
-  HttpReader reader(HttpReader::Side::Request, pool, 4096),
-      parts(HttpReader::Side::Request, pool, 64, 1 << 20);
-  std::size_t used = reader.feed(text);
-  assert(used <= size && (!reader.whole() || reader.message().body.size() <= 4096));
-  BufferChain body(pool);
-  for (std::size_t at = 0; at < size && !parts.whole() && parts.fault() == HttpReader::Fault::None; ++at) {
-    parts.feed(text.substr(at, 1));  // byte by byte, its body taken as it comes
-    if (parts.in_body()) body.add(parts.take_part());
+
+  std::vector<Packet> packets;
+  bool closed = false;
+
+ private:
+  Channel channel_;
+};
+
+class HotRestartTest : public testing::Test {
+ protected:
+  HotRestartTest() {
+    std::string pattern = testing::TempDir() + "hot_restart_XXXXXX";
+    EXPECT_NE(mkdtemp(pattern.data()), nullptr);
+    folder_ = pattern;
+    path_ = folder_ + "/control";
+    SocketPair sockets = connected_sockets(SOCK_SEQPACKET);
+    predecessor_ = std::make_unique<Peer>(loop_, std::move(sockets.first));
+    hot_restart_ = std::make_unique<HotRestart>(loop_, owner_, path_, std::move(sockets.second));
+    hot_restart_->on_serving();
   }
-  if (reader.whole()) {
-    assert(parts.whole());
-    body.add(parts.take_part());
-    assert(body.text() == reader.message().body.text());
+  ~HotRestartTest() override {
+    hot_restart_.reset();
+    std::filesystem::remove_all(folder_);
   }
-  return 0;
-}
 
-#ifndef PUFFINVANE_LIBFUZZER
-namespace {
+  std::unique_ptr<Peer> connect_successor() {
+    Ref<GSocket> socket = create_control_socket();
+    const ControlAddress address(path_);
+    EXPECT_TRUE(g_socket_connect(socket.get(), address.address(), nullptr, nullptr));
+    return std::make_unique<Peer>(loop_, std::move(socket));
+  }
+  // A successor that has received everything.
+  std::unique_ptr<Peer> connect_up_to_date_successor() {
+    std::unique_ptr<Peer> successor = connect_successor();
+    EXPECT_TRUE(run_until(
+        [&] { return hot_restart_->has_successor() && !hot_restart_->is_sending_learned_state(); }));
+    EXPECT_TRUE(run_until([&] { return successor->packets.size() >= 4; }));
+    successor->packets.clear();
+    return successor;
+  }
 
-EndpointList some_list(std::size_t count) {
-  EndpointList list;
-  list.index = 41, list.is_snapshot = true, list.received_at_s = 99.5, list.has_start_times = true;
-  for (std::size_t i = 0; i < count; ++i) {
-    ListedState state = i % 3 == 0 ? ListedState::Draining : ListedState::Ready;
-    list.entries.push_back(
-        {"s-" + std::to_string(i), "z\"1", std::int64_t(i % 5), state, 0.5 + double(i), i % 2 ? 100.25 : 0});
-    list.addresses.push_back("127.0.0.1:" + std::to_string(5000 + i));
-    list.stated_start_ms.push_back(i % 2 ? 1700000000123.0 : 0);
+  // Runs the loop until the condition holds; false if it does not within the deadline.
+  template <typename Condition>
+  bool run_until(Condition condition) {
+    const double deadline = loop_.now() + kDeadlineSeconds;
+    while (!condition() && loop_.now() < deadline) g_main_context_iteration(loop_.context(), FALSE);
+    return condition();
   }
-  return list;
+
+  std::ostringstream log_text_;
+  Log log_{log_text_, Level::Debug};
+  Loop loop_{log_, kDescriptorLimit};
+  RecordingOwner owner_;
+  std::string folder_;
+  std::string path_;
+  std::unique_ptr<Peer> predecessor_;
+  std::unique_ptr<HotRestart> hot_restart_;
+};
+
+TEST_F(HotRestartTest, TellsThePredecessorThatItServes) {
+  ASSERT_TRUE(run_until([&] { return predecessor_->packets.size() >= 1; }));
+
+  EXPECT_EQ(predecessor_->texts(), std::vector<std::string>{encode_message(ServingMessage{})});
 }
 
-void a_list_of_any_length_is_read_back_as_it_was() {
-  for (std::size_t count : {0u, 1u, 400u, 1201u}) {
-    EndpointList list = some_list(count), back;
-    for (const std::string& packet : write_listing(list)) {
-      std::optional<ControlMessage> parsed = read_control_message(packet);
-      assert(packet.size() < 128 * 1024 && parsed && parsed->what == ControlMessage::What::Listing &&
-             parsed->list.index == 41 && parsed->list.received_at_s == 99.5 && parsed->list.has_start_times);
-      for (const ListEntry& entry : parsed->list.entries) back.entries.push_back(entry);
-      for (const std::string& address : parsed->list.addresses) back.addresses.push_back(address);
-      for (double since_ms : parsed->list.stated_start_ms) back.stated_start_ms.push_back(since_ms);
-    }
-    assert(back.entries == list.entries && back.addresses == list.addresses &&
-           back.stated_start_ms == list.stated_start_ms);
-  }
+TEST_F(HotRestartTest, SendsTheListenerThenTheSnapshotThenLearnedState) {
+  owner_.listener = connected_sockets(SOCK_SEQPACKET).first;
+  std::vector<std::string> expected = {encode_message(ListenerMessage{})};
+  expected.push_back(encode_endpoint_list(owner_.endpoint_list())[0]);
+  expected.push_back(encode_message(OperatorOverridesMessage{}));
+  expected.push_back(encode_message(SnapshotCompleteMessage{}));
+  expected.push_back(test::encode_learned_state(owner_.learned)[0]);
+
+  const std::unique_ptr<Peer> successor = connect_successor();
+
+  ASSERT_TRUE(run_until([&] { return successor->packets.size() >= expected.size(); }));
+  EXPECT_EQ(successor->texts(), expected);
+  EXPECT_NE(successor->packets[0].socket, nullptr);
+  EXPECT_EQ(owner_.presences, std::vector<PeerPresence>{PeerPresence::Present});
+  EXPECT_NE(log_text_.str().find("hot_restart.takeover_started"), std::string::npos);
 }
 
-void orders_are_read_back_as_they_were() {
-  OperatorOverrides overrides{{{"a \"quoted\"\n", 12.5}, {"b", 0}}, 7.25};
-  std::optional<ControlMessage> parsed = read_control_message(write_overrides(overrides));
-  assert(parsed && parsed->overrides == overrides);
-  parsed = read_control_message(write_overrides({}));
-  assert(parsed && parsed->overrides == OperatorOverrides());
+TEST_F(HotRestartTest, SendsLearnedStateAPacketATurn) {
+  owner_.learned = test::learned_state_of(1100);
+  const std::vector<std::string> expected = test::encode_learned_state(owner_.learned);
+  ASSERT_GT(expected.size(), 2u);
+
+  const std::unique_ptr<Peer> successor = connect_successor();
+
+  ASSERT_TRUE(run_until([&] { return hot_restart_->has_successor(); }));
+  EXPECT_TRUE(hot_restart_->is_sending_learned_state());
+  ASSERT_TRUE(run_until([&] { return !hot_restart_->is_sending_learned_state(); }));
+  const std::size_t snapshot_packets = 3;
+  ASSERT_TRUE(run_until([&] { return successor->packets.size() == snapshot_packets + expected.size(); }));
+  std::vector<std::string> learned = successor->texts();
+  learned.erase(learned.begin(), learned.begin() + snapshot_packets);
+  EXPECT_EQ(learned, expected);
 }
 
-LearnedState some_learned(std::size_t endpoints) {
-  LearnedState learned{
-      {{"read", {0.1, 0.25}, {0.2}}, {"write \"x\"", {}, {}}}, {}, {0, 1, 1}, {3, 0, 5}, 12.125};
-  for (std::size_t i = 0; i < endpoints; ++i) {
-    EndpointStatistics whole{Health(i % 3), 2,      30.5,
-                             29.25,         int(i), {{29, 1.5, 2, true, false}, {30, 3, 1, false, true}}};
-    EndpointStatistics statistics = whole;
-    statistics.samples.pop_back();
-    learned.endpoints.push_back({"s-" + std::to_string(i), i % 2 ? 100.25 : 0, whole, {whole, statistics}});
-  }
-  return learned;
+TEST_F(HotRestartTest, RefusesASecondSuccessor) {
+  const std::unique_ptr<Peer> successor = connect_up_to_date_successor();
+
+  const std::unique_ptr<Peer> second = connect_successor();
+
+  ASSERT_TRUE(run_until([&] { return second->closed; }));
+  EXPECT_TRUE(second->packets.empty());
+  EXPECT_FALSE(successor->closed);
 }
 
-std::vector<std::string> packets_of(const LearnedState& learned) {
-  std::vector<std::string> packets;
-  std::size_t from = 0;
-  do packets.push_back(write_learned(learned, from));
-  while (from < learned.endpoints.size());
-  return packets;
+TEST_F(HotRestartTest, AcceptsAnotherSuccessorAfterOneIsGone) {
+  std::unique_ptr<Peer> successor = connect_up_to_date_successor();
+  successor.reset();
+  ASSERT_TRUE(run_until([&] { return !hot_restart_->has_successor(); }));
+
+  successor = connect_up_to_date_successor();
+
+  EXPECT_TRUE(hot_restart_->has_successor());
+  EXPECT_NE(log_text_.str().find("hot_restart.peer_disconnected peer=successor"), std::string::npos);
 }
 
-void what_was_learned_is_read_back_as_it_was_of_any_number_of_endpoints() {
-  for (std::size_t count : {0u, 1u, 13u, 200u, 1100u}) {
-    LearnedState learned = some_learned(count), back;
-    for (const std::string& packet : packets_of(learned)) {
-      std::optional<ControlMessage> parsed = read_control_message(packet);
-      assert(packet.size() < 128 * 1024 && parsed && parsed->what == ControlMessage::What::Learned);
-      LearnedState part = std::move(parsed->learned);
-      assert(part.classes.size() == 2);
-      part.endpoints.insert(part.endpoints.begin(), back.endpoints.begin(), back.endpoints.end());
-      back.endpoints = part.endpoints;
-      if (back.classes.empty()) back = std::move(part);
-    }
-    assert(back.endpoints == learned.endpoints && back.classes == learned.classes &&
-           back.lateness == learned.lateness && back.completion_rates == learned.completion_rates &&
-           back.started_at_s == learned.started_at_s);
-  }
-  // What no module can have learned is left out whole, and ends no handover.
-  std::string gone = packets_of(some_learned(1))[0];
-  std::size_t at = gone.find("[0,2.0,30.5");
-  assert(at != std::string::npos);
-  gone[at + 1] = '3';
-  std::optional<ControlMessage> parsed = read_control_message(gone);
-  assert(parsed && parsed->what == ControlMessage::What::Learned && parsed->learned.endpoints.empty());
+TEST_F(HotRestartTest, IsAloneOnceBothPeersAreGone) {
+  std::unique_ptr<Peer> successor = connect_up_to_date_successor();
+  owner_.presences.clear();
+
+  successor.reset();
+  ASSERT_TRUE(run_until([&] { return owner_.presences.size() == 1; }));
+  predecessor_.reset();
+  ASSERT_TRUE(run_until([&] { return owner_.presences.size() == 2; }));
+
+  EXPECT_EQ(owner_.presences, (std::vector<PeerPresence>{PeerPresence::Present, PeerPresence::Alone}));
+  EXPECT_NE(log_text_.str().find("hot_restart.peer_disconnected peer=predecessor"), std::string::npos);
 }
 
-void another_format_is_not_understood() {
-  std::string newer = write_whole();
-  newer.replace(newer.find("\"format\":1"), 10, "\"format\":2");
-  assert(read_control_message(write_whole()) && !read_control_message(newer) && !read_control_message("") &&
-         !read_control_message("[]"));
-  assert(!read_control_message(R"({"format":1,"say":"unheard of"})") &&
-         !read_control_message(R"({"format":1,"say":"ordered"})"));
+TEST_F(HotRestartTest, PassesOverridesOnToTheOtherPeerOnly) {
+  const std::unique_ptr<Peer> successor = connect_up_to_date_successor();
+  const OperatorOverridesMessage message{test::quoted_overrides()};
+  const std::size_t packets_before = predecessor_->packets.size();
+
+  predecessor_->send(message);
+
+  ASSERT_TRUE(run_until([&] { return successor->packets.size() >= 1; }));
+  EXPECT_EQ(owner_.overrides, test::quoted_overrides());
+  EXPECT_EQ(successor->texts(), std::vector<std::string>{encode_message(message)});
+  EXPECT_EQ(predecessor_->packets.size(), packets_before);
 }
 
-std::uint64_t state = 42;
-std::size_t below(std::size_t n) {  // xorshift: the same inputs at every run
-  state ^= state << 13, state ^= state >> 7, state ^= state << 17;
-  return state % n;
+TEST_F(HotRestartTest, TakesLearnedStateFromThePredecessorOnly) {
+  const std::unique_ptr<Peer> successor = connect_up_to_date_successor();
+
+  successor->send(LearnedStateMessage{test::learned_state_of(1)});
+  successor->send(OperatorOverridesMessage{test::quoted_overrides()});
+  ASSERT_TRUE(run_until([&] { return owner_.overrides == test::quoted_overrides(); }));
+  EXPECT_EQ(owner_.learned_parts.size(), 0u);
+
+  predecessor_->send(LearnedStateMessage{test::learned_state_of(2)});
+  ASSERT_TRUE(run_until([&] { return !owner_.learned_parts.empty(); }));
+  EXPECT_EQ(owner_.learned_parts[0].endpoints, test::learned_state_of(2).endpoints);
 }
 
-void any_bytes_end_well() {
-  std::vector<std::string> corpus = write_listing(some_list(3));
-  corpus.push_back(packets_of(some_learned(2))[0]);
-  corpus.insert(corpus.end(), {write_overrides({{{"a", 1}}, 2}), write_connection(true), write_listener(),
-                               write_whole(), "PUT /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1",
-                               "POST http://h/a?b HTTP/1.1\r\nTransfer-Encoding: "
-                               "chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nT: v\r\n\r\n"});
-  long runs = 0;
-  for (const std::string& whole : corpus) {
-    for (int i = 0; i < 2000; ++i, ++runs) {
-      std::string text = whole;
-      for (std::size_t k = below(4); k > 0 && !text.empty(); --k) {
-        std::string put =
-            below(2) ? text.substr(below(text.size()), below(40)) : std::string(1, char(below(256)));
-        text.replace(below(text.size()), below(4) ? below(9) : text.size(), put);
-      }
-      LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(text.data()), text.size());
-    }
-  }
-  std::printf("handover: %ld inputs, all well\n", runs);
+TEST_F(HotRestartTest, SendsAConnectionToTheSuccessor) {
+  const std::unique_ptr<Peer> successor = connect_up_to_date_successor();
+  const Ref<GSocket> connection = connected_sockets(SOCK_SEQPACKET).first;
+
+  ASSERT_TRUE(hot_restart_->try_send_connection(connection.get(), ConnectionHistory::Used));
+
+  ASSERT_TRUE(run_until([&] { return successor->packets.size() >= 1; }));
+  EXPECT_EQ(successor->packets[0].text, encode_message(ConnectionMessage{ConnectionHistory::Used}));
+  EXPECT_NE(successor->packets[0].socket, nullptr);
 }
 
-}  // namespace
+TEST_F(HotRestartTest, KeepsAConnectionWithoutASuccessor) {
+  const Ref<GSocket> connection = connected_sockets(SOCK_SEQPACKET).first;
 
-int main() {
-  a_list_of_any_length_is_read_back_as_it_was();
-  orders_are_read_back_as_they_were();
-  what_was_learned_is_read_back_as_it_was_of_any_number_of_endpoints();
-  another_format_is_not_understood();
-  any_bytes_end_well();
+  EXPECT_FALSE(hot_restart_->try_send_connection(connection.get(), ConnectionHistory::Used));
 }
-#endif
+
+TEST_F(HotRestartTest, LogsAndDropsAMessageThatItCannotDecode) {
+  predecessor_->send_text(R"({"format":1,"say":"unheard of"})");
+  predecessor_->send(OperatorOverridesMessage{test::quoted_overrides()});
+
+  ASSERT_TRUE(run_until([&] { return owner_.overrides == test::quoted_overrides(); }));
+  EXPECT_NE(
+      log_text_.str().find("hot_restart.message_rejected peer=predecessor reason=unknown_type field=say"),
+      std::string::npos)
+      << log_text_.str();
+}
+
+TEST_F(HotRestartTest, RemovesItsSocketFileAtTheEnd) {
+  EXPECT_TRUE(std::filesystem::exists(path_));
+
+  hot_restart_.reset();
+
+  EXPECT_FALSE(std::filesystem::exists(path_));
+}
+
+TEST_F(HotRestartTest, LeavesTheSocketFileOfAnotherProcess) {
+  std::filesystem::remove(path_);
+  const Ref<GSocket> other = create_control_socket();
+  ASSERT_TRUE(g_socket_bind(other.get(), ControlAddress(path_).address(), FALSE, nullptr));
+
+  hot_restart_.reset();
+
+  EXPECT_TRUE(std::filesystem::exists(path_));
+}
+
+}  // namespace
+}  // namespace puffinvane
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "src/admin/telemetry.h"
+#include "src/hot_restart/control_address.h"
 #include "src/http/headers.h"
 
 namespace puffinvane {
@@ -47,7 +48,7 @@
                                      .backoff_seed = assignment_.seed}),
       operations_(*this),
       takeover_(std::move(takeover)) {
-  downstream_.longest_wait(patience().longest);
+  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
   if (assignment_.fleet)
     fleet_.emplace(loop, *assignment_.fleet, Loop::unix_offset(), assignment_.seed,
                    static_cast<fleet::Fleet::Owner&>(*this));
@@ -61,7 +62,7 @@
 
 void Sidecar::start() {
   started_ = loop().now();
-  on_overrides(takeover_.overrides);
+  on_operator_overrides(takeover_.overrides);
   if (takeover_.list && takeover_.list->has_start_times) starts_.import_start_times(*takeover_.list);
   starts_.set_cached_start_times(assignment_.known, started_, {Loop::unix_offset(), {}});
   forwarder_.know(assignment_.known);
@@ -77,12 +78,12 @@
     if (takeover_.listener) listener_.adopt(std::move(takeover_.listener));
     else listener_.open(assignment_.listen, admin_ ? Listener::Beside::Another : Listener::Beside::Nobody);
   } catch (const Listener::NotNow&) {
-    if (loop().now() > started_ + kKilledAfter) throw;
+    if (loop().now() > started_ + kKillTimeoutSeconds) throw;
     return loop().at(loop().now() + kListenRetry, alive_.guard([this] { try_listeners(); }));
   }
   if (fleet_) has_predecessor_ ? fleet_->open_in_turn() : fleet_->open(), look_at_shares();
-  opened();
-  if (hot_restart_) hot_restart_->serving();
+  on_listeners_open();
+  if (hot_restart_) hot_restart_->on_serving();
 }
 
 void Sidecar::try_listeners() {
@@ -93,14 +94,14 @@
   }
 }
 
-void Sidecar::serves() {
+void Sidecar::on_serving() {
   serving_ = true;
   if (fleet_) fleet_->serving();
   loop().log().info() << assignment_.name << " serves tier " << assignment_.deployment.tier << " at "
                       << assignment_.listen << ", " << assignment_.known.entries.size() << " endpoints known";
 }
 
-void Sidecar::reads_anew() {
+void Sidecar::reload_settings() {
   try {
     std::string discovery = load_assignment(assigned_in_.c_str(), OnWant::Throw).discovery;
     // Asked for at what is no address nobody would answer, and the discovery that did was given up for it.
@@ -112,7 +113,7 @@
   } catch (const NotReadNow& fault) {
     if (unread_++ == 0)
       loop().log().warning() << assignment_.name << " reads its file later: " << fault.what();
-    loop().at(loop().now() + kReadAgain, alive_.guard([this] { reads_anew(); }));
+    loop().at(loop().now() + kReadAgain, alive_.guard([this] { reload_settings(); }));
   } catch (const std::exception& fault) {
     unread_ = 0;
     // Whoever wrote it can't see that it was no use but here; the pending requests must not pay for it.
@@ -120,23 +121,25 @@
   }
 }
 
-Lifecycle::Patience Sidecar::patience() const {
-  Patience patience;
+Lifecycle::DrainLimits Sidecar::drain_limits() const {
+  DrainLimits limits;
   for (const RequestClass& request_class : assignment_.deployment.request_classes) {
-    patience.longest = std::max(patience.longest, request_class.client_timeout_s);
-    patience.target = std::max(patience.target, request_class.latency_objective_s);
+    limits.longest_client_timeout_s =
+        std::max(limits.longest_client_timeout_s, request_class.client_timeout_s);
+    limits.longest_latency_objective_s =
+        std::max(limits.longest_latency_objective_s, request_class.latency_objective_s);
   }
-  return patience;
+  return limits;
 }
 
-void Sidecar::leaves(double gone) {
+void Sidecar::on_draining(double deadline_s) {
   loop().log().info() << assignment_.name << " leaves";
   leaving_ = true;
   if (fleet_) has_successor() ? fleet_->let_go() : fleet_->leaving();
-  forwarder_.leave(gone);
+  forwarder_.leave(deadline_s);
 }
 
-void Sidecar::ends() {
+void Sidecar::on_stopped() {
   loop().log().info() << assignment_.name << " is gone";
   watch_.close();
   if (fleet_) fleet_->close();
@@ -154,15 +157,15 @@
 
 void Sidecar::on_override() {
   look_at_drain();
-  if (hot_restart_) hot_restart_->send_overrides();
+  if (hot_restart_) hot_restart_->send_operator_overrides();
 }
 
-void Sidecar::on_overrides(const OperatorOverrides& overrides) {
-  operations_.take_over(overrides.out, overrides.drains_since);
+void Sidecar::on_operator_overrides(const OperatorOverrides& overrides) {
+  operations_.take_over(overrides.excluded_since_s, overrides.evacuated_since_s);
   look_at_drain();
 }
 
-EndpointList Sidecar::listing() const {
+EndpointList Sidecar::endpoint_list() const {
   EndpointList list = forwarder_.listing();
   starts_.export_start_times(list);
   return list;
@@ -173,11 +176,13 @@
   return watch_.has_received_list() || takeover_.list || loop().now() - started_ > kFirstList;
 }
 
-void Sidecar::hands_over() {
+void Sidecar::hand_over_connections() {
   // It died before it had all: the front finds the others, and who is connected hears that this was the last.
   if (!has_successor()) return downstream_.last_call(true), downstream_.close_idle();
-  downstream_.hand_over(
-      [this](GSocket* client, bool asked) { return hot_restart_->hand_over(client, asked); });
+  downstream_.hand_over([this](GSocket* connection, bool asked) {
+    const ConnectionHistory history = asked ? ConnectionHistory::Used : ConnectionHistory::Unused;
+    return hot_restart_->try_send_connection(connection, history);
+  });
 }
 
 void Sidecar::look_at_drain() {
