--- a/src/hot_restart/takeover.cpp
+++ b/src/hot_restart/takeover.cpp
@@ -52,7 +52,8 @@
   list->has_start_times = part.has_start_times;
   std::move(part.entries.begin(), part.entries.end(), std::back_inserter(list->entries));
   std::move(part.addresses.begin(), part.addresses.end(), std::back_inserter(list->addresses));
-  list->stated_start_ms.insert(list->stated_start_ms.end(), part.stated_start_ms.begin(), part.stated_start_ms.end());
+  list->stated_start_ms.insert(list->stated_start_ms.end(), part.stated_start_ms.begin(),
+                               part.stated_start_ms.end());
 }
 
 // One request to the predecessor, from connecting to the last message of the snapshot. Blocks.
