--- a/src/hot_restart/channel.h
+++ b/src/hot_restart/channel.h
@@ -1,5 +1,5 @@
 // The control channel between two processes of one sidecar: packets of text over a Unix socket, each with a
-// socket attached or without. What the packets mean is not known here.
+// socket attached or without. It does not know what the packets mean.
 #pragma once
 
 #include <cstddef>
--- a/src/hot_restart/control_listener.h
+++ b/src/hot_restart/control_listener.h
@@ -1,4 +1,4 @@
-// Waits at the control path for a successor to connect. What is said on the connection is not known here.
+// Waits at the control path for a successor to connect. It does not know the messages on the connection.
 #pragma once
 
 #include <cstdint>
--- a/src/hot_restart/former_version_test.cpp
+++ b/src/hot_restart/former_version_test.cpp
@@ -119,7 +119,7 @@
   EXPECT_EQ(packets, std::vector<std::string>{packet_at(10)});
 }
 
-// Such a version sends the starts of endpoints in Unix time, which say nothing on the monotonic clock.
+// Such a version sends the starts of endpoints in Unix time, which can't be compared with monotonic times.
 TEST(FormerVersionPackets, LearnedStateOnAnotherClockLeavesStartedEndpointsOut) {
   std::string packet = packet_at(10);
   const std::string clock = R"("clock":"monotonic",)";
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,5 +1,5 @@
-// The hot restart of a process that serves: what it says to its predecessor and its successor on the control
-// channels, and what it does with what they say. How requests are served meanwhile is its owner's.
+// The hot restart of a process that serves: what it sends to its predecessor and its successor on the control
+// channels, and how it reacts to their messages. Serving requests meanwhile is its owner's responsibility.
 #pragma once
 
 #include <memory>
@@ -38,7 +38,7 @@
   // predecessor: the control channel of a takeover; null if there was none.
   HotRestart(Loop& loop, Owner& owner, std::string control_path, Ref<GSocket> predecessor);
 
-  // The owner serves: tells the predecessor, and from here on a successor may connect.
+  // The owner serves. Notifies the predecessor; from here on a successor may connect.
   void on_serving();
   bool has_successor() const { return successor_ != nullptr; }
   // True until the successor has been sent all learned state.
@@ -59,7 +59,7 @@
   void on_message(Channel& sender, OperatorOverridesMessage& message, Packet& packet);
   void on_message(Channel& sender, ConnectionMessage& message, Packet& packet);
   void on_message(Channel& sender, LearnedStateMessage& message, Packet& packet);
-  // Parts of the snapshot, which request_takeover has read, and news that change nothing.
+  // Parts of the snapshot, which request_takeover has read, and a notification that changes nothing.
   void on_message(Channel&, EndpointListMessage&, Packet&) {}
   void on_message(Channel&, ListenerMessage&, Packet&) {}
   void on_message(Channel&, SnapshotCompleteMessage&, Packet&) {}
--- a/src/hot_restart/hot_restart_test.cpp
+++ b/src/hot_restart/hot_restart_test.cpp
@@ -3,7 +3,6 @@
 
 #include <gtest/gtest.h>
 
-#include <cstdlib>
 #include <filesystem>
 #include <memory>
 #include <sstream>
@@ -11,6 +10,7 @@
 #include <vector>
 
 #include "src/hot_restart/control_address.h"
+#include "src/hot_restart/control_folder.h"
 #include "src/hot_restart/message_builders.h"
 #include "src/hot_restart/socket_pair.h"
 
@@ -67,20 +67,11 @@
 class HotRestartTest : public testing::Test {
  protected:
   HotRestartTest() {
-    std::string pattern = testing::TempDir() + "hot_restart_XXXXXX";
-    EXPECT_NE(mkdtemp(pattern.data()), nullptr);
-    folder_ = pattern;
-    path_ = folder_ + "/control";
     SocketPair sockets = connected_sockets(SOCK_SEQPACKET);
     predecessor_ = std::make_unique<Peer>(loop_, std::move(sockets.first));
     hot_restart_ = std::make_unique<HotRestart>(loop_, owner_, path_, std::move(sockets.second));
     hot_restart_->on_serving();
   }
-  ~HotRestartTest() override {
-    hot_restart_.reset();
-    std::filesystem::remove_all(folder_);
-  }
-
   std::unique_ptr<Peer> connect_successor() {
     Ref<GSocket> socket = create_control_socket();
     const ControlAddress address(path_);
@@ -109,13 +100,13 @@
   Log log_{log_text_, Level::Debug};
   Loop loop_{log_, kDescriptorLimit};
   RecordingOwner owner_;
-  std::string folder_;
-  std::string path_;
+  test::ControlFolder folder_;
+  const std::string path_ = folder_.path();
   std::unique_ptr<Peer> predecessor_;
   std::unique_ptr<HotRestart> hot_restart_;
 };
 
-TEST_F(HotRestartTest, TellsThePredecessorThatItServes) {
+TEST_F(HotRestartTest, NotifiesThePredecessorThatItServes) {
   ASSERT_TRUE(run_until([&] { return predecessor_->packets.size() >= 1; }));
 
   EXPECT_EQ(predecessor_->texts(), std::vector<std::string>{encode_message(ServingMessage{})});
--- a/src/hot_restart/learned_state_decoder.cpp
+++ b/src/hot_restart/learned_state_decoder.cpp
@@ -81,7 +81,8 @@
   return clock == wire::kMonotonicClock ? StartClock::Monotonic : StartClock::Unknown;
 }
 
-// Nothing for an endpoint whose start is on another clock: it can't be told from a later one of its name.
+// Nothing for an endpoint whose start is on another clock: it can't be distinguished from a later endpoint
+// of the same name.
 std::optional<LearnedState::EndpointState> decode_endpoint(JsonReader& reader, Element element,
                                                            StartClock clock) {
   const auto fields = reader.tuple<4>(element, "endpoint");
--- a/src/hot_restart/message.h
+++ b/src/hot_restart/message.h
@@ -1,5 +1,5 @@
-// The messages that two processes of one sidecar exchange on the control channel, as structs. How they read
-// as bytes is the encoder's and the decoder's; sockets are the channel's.
+// The messages that two processes of one sidecar exchange on the control channel, as structs. Their bytes are
+// the responsibility of the encoder and the decoder, and the sockets that of the channel.
 //
 // Times are on the system's monotonic clock, which both processes share, also the start times of endpoints: a
 // wall clock may be stepped between the two.
@@ -48,7 +48,8 @@
 // The successor serves.
 struct ServingMessage {};
 
-// What the predecessor's policy has learned, or a part of it. Fields that a part leaves empty say nothing.
+// What the predecessor's policy has learned, or a part of it. An empty field of a part carries no
+// information.
 struct LearnedStateMessage {
   LearnedState state;
 };
--- a/src/hot_restart/message_fuzz_test.cpp
+++ b/src/hot_restart/message_fuzz_test.cpp
@@ -45,25 +45,30 @@
   std::visit([](const auto& message) { check_decoded(message); }, decoded.value());
 }
 
-// The admin API's parser is the listener's, with a small limit for the body. Bytes read at once and one by
-// one have to give the same message.
+// Feeds a reader byte by byte until its message is complete or refused, and collects the body.
+void feed_bytewise(HttpReader& reader, std::string_view text, BufferChain& body) {
+  for (std::size_t i = 0; i < text.size(); ++i) {
+    if (reader.whole() || reader.fault() != HttpReader::Fault::None) return;
+    reader.feed(text.substr(i, 1));
+    if (reader.in_body()) body.add(reader.take_part());
+  }
+}
+
+// The admin API's parser is the listener's, with a small limit for the body. Bytes that are read together and
+// bytes that are read singly have to give the same message.
 void check_http(std::string_view text) {
   constexpr std::size_t kMaxBodyBytes = 4096;
   BufferPool pool;
   HttpReader reader(HttpReader::Side::Request, pool, kMaxBodyBytes);
   HttpReader bytewise(HttpReader::Side::Request, pool, 64, 1 << 20);
+  BufferChain body(pool);
+
   const std::size_t used = reader.feed(text);
+  feed_bytewise(bytewise, text, body);
+
   ASSERT_LE(used, text.size());
-  if (reader.whole()) {
-    ASSERT_LE(reader.message().body.size(), kMaxBodyBytes);
-  }
-  BufferChain body(pool);
-  for (std::size_t i = 0; i < text.size() && !bytewise.whole() && bytewise.fault() == HttpReader::Fault::None;
-       ++i) {
-    bytewise.feed(text.substr(i, 1));
-    if (bytewise.in_body()) body.add(bytewise.take_part());
-  }
   if (!reader.whole()) return;
+  ASSERT_LE(reader.message().body.size(), kMaxBodyBytes);
   ASSERT_TRUE(bytewise.whole());
   body.add(bytewise.take_part());
   ASSERT_EQ(body.text(), reader.message().body.text());
--- a/src/hot_restart/takeover_test.cpp
+++ b/src/hot_restart/takeover_test.cpp
@@ -5,9 +5,6 @@
 #include <gtest/gtest.h>
 
 #include <cstdio>
-#include <cstdlib>
-#include <filesystem>
-#include <memory>
 #include <ostream>
 #include <string>
 #include <thread>
@@ -15,6 +12,7 @@
 
 #include "src/hot_restart/channel.h"
 #include "src/hot_restart/control_address.h"
+#include "src/hot_restart/control_folder.h"
 #include "src/hot_restart/message_builders.h"
 
 namespace puffinvane {
@@ -26,27 +24,6 @@
 constexpr double kTimeoutSeconds = 5;
 constexpr double kShortTimeoutSeconds = 0.05;
 
-// A folder of this test's own, with a path in it that is too long for a socket's name.
-class ControlFolder {
- public:
-  ControlFolder() {
-    std::string pattern = testing::TempDir() + "hot_restart_XXXXXX";
-    EXPECT_NE(mkdtemp(pattern.data()), nullptr);
-    folder_ = pattern;
-    const std::filesystem::path nested = folder_ / std::string(120, 'x');
-    std::filesystem::create_directory(nested);
-    path_ = nested / "control";
-  }
-  ControlFolder(const ControlFolder&) = delete;
-  ControlFolder& operator=(const ControlFolder&) = delete;
-  ~ControlFolder() { std::filesystem::remove_all(folder_); }
-  std::string path() const { return path_; }
-
- private:
-  std::filesystem::path folder_;
-  std::filesystem::path path_;
-};
-
 Ref<GSocket> listen_at(const std::string& path) {
   Ref<GSocket> socket = create_control_socket();
   const ControlAddress address(path);
@@ -85,7 +62,7 @@
     return requested ? TakeoverError::NoPredecessor : requested.error();
   }
 
-  ControlFolder folder_;
+  test::ControlFolder folder_;
 };
 
 TEST_F(TakeoverTest, FindsNoPredecessorWithoutAPath) {
