--- a/src/hot_restart/message_decoder.h
+++ b/src/hot_restart/message_decoder.h
@@ -4,9 +4,9 @@
 
 #include <string_view>
 
+#include "puffinvane/result.h"
 #include "src/hot_restart/json_reader.h"
 #include "src/hot_restart/message.h"
-#include "src/hot_restart/result.h"
 
 namespace puffinvane {
 
--- a/src/hot_restart/takeover.h
+++ b/src/hot_restart/takeover.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <string_view>
 
+#include "puffinvane/result.h"
 #include "src/discovery/discovery.h"
 #include "src/hot_restart/message.h"
-#include "src/hot_restart/result.h"
 #include "src/net/glib.h"
 
 namespace puffinvane {
