--- /dev/null
+++ b/include/puffinvane/result.h
@@ -0,0 +1,28 @@
+// The result of an operation that can fail: a value or a typed error. It is not for failures that a caller
+// can't handle.
+#pragma once
+
+#include <utility>
+#include <variant>
+
+namespace puffinvane {
+
+// Holds either a T or an Error, which have to be different types. Reading the one that is not there is a
+// fault of the caller and throws std::bad_variant_access.
+template <typename T, typename Error>
+class Result {
+ public:
+  Result(T value) : state_(std::in_place_index<0>, std::move(value)) {}
+  Result(Error error) : state_(std::in_place_index<1>, std::move(error)) {}
+
+  bool has_value() const { return state_.index() == 0; }
+  explicit operator bool() const { return has_value(); }
+  T& value() { return std::get<0>(state_); }
+  const T& value() const { return std::get<0>(state_); }
+  const Error& error() const { return std::get<1>(state_); }
+
+ private:
+  std::variant<T, Error> state_;
+};
+
+}  // namespace puffinvane
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -102,8 +102,8 @@
 
 EndpointList read_endpoint_list(element json) {
   ListResult result = parse_endpoint_list(json);
-  if (const ListError* error = std::get_if<ListError>(&result)) throw Malformed(describe(*error));
-  return std::get<EndpointList>(std::move(result));
+  if (!result) throw Malformed(describe(result.error()));
+  return std::move(result.value());
 }
 
 ListResult ListParser::parse(std::string_view text) {
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <variant>
 #include <vector>
 
+#include "puffinvane/result.h"
 #include "src/config/settings/deployment.h"
 
 namespace puffinvane {
@@ -47,7 +47,7 @@
   std::string where;  // the field, the status or the parser's message; empty where `what` says all
 };
 
-using ListResult = std::variant<EndpointList, ListError>;
+using ListResult = Result<EndpointList, ListError>;
 
 // The name of a fault in log events, as "missing_entry_field".
 std::string_view name_of(ListFault fault);
--- a/src/discovery/discovery_test.cpp
+++ b/src/discovery/discovery_test.cpp
@@ -7,9 +7,9 @@
 namespace puffinvane {
 namespace {
 
-EndpointList list_of(const std::string& text) { return std::get<EndpointList>(parse_endpoint_list(text)); }
+EndpointList list_of(const std::string& text) { return parse_endpoint_list(text).value(); }
 
-ListError error_of(const std::string& text) { return std::get<ListError>(parse_endpoint_list(text)); }
+ListError error_of(const std::string& text) { return parse_endpoint_list(text).error(); }
 
 // A list with one entry that has these fields.
 std::string list_with_entry(const std::string& fields) {
--- a/src/discovery/list_cursor.cpp
+++ b/src/discovery/list_cursor.cpp
@@ -34,8 +34,8 @@
     return ListUnchanged();
   }
   ListResult result = parser_.parse(line);
-  if (ListError* error = std::get_if<ListError>(&result)) return std::move(*error);
-  EndpointList& list = std::get<EndpointList>(result);
+  if (!result) return result.error();
+  EndpointList& list = result.value();
   if (std::optional<ListError> error = find_sequence_fault(list)) return std::move(*error);
 
   // Some discoveries answer a call for everything with all changes since a list that everybody was given.
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -223,13 +223,14 @@
 }
 
 void a_list_is_read_with_its_starts_as_they_are_stated() {
-  EndpointList list = std::get<EndpointList>(parse_endpoint_list(
-      R"({"index":43,"snapshot":false,"endpoints":[
+  EndpointList list = parse_endpoint_list(
+                          R"({"index":43,"snapshot":false,"endpoints":[
          {"name":"s-1","address":"10.1.0.18:5000","zone":"a","group":3,"status":"leaving","weight":1.5,
          "since_ms":5000},
         {"name":"s-2","address":"10.1.0.19:5000","zone":"b","group":4,"status":"active","weight":0,
          "since_ms":0},
-        {"name":"s-3","status":"left","new":{"field":1}}]})"));
+        {"name":"s-3","status":"left","new":{"field":1}}]})")
+                          .value();
   assert(list.index == 43 && !list.is_snapshot && list.entries.size() == 3 &&
          list.addresses[1] == "10.1.0.19:5000");
   assert(list.entries[0].state == ListedState::Draining && list.stated_start_ms[0] == 5000 &&
@@ -255,7 +256,7 @@
        {"", "{", "[]", "{}", R"({"index":1})", R"({"index":1,"endpoints":[{"status":"active"}]})",
         R"({"index":1,"endpoints":[{"name":"a","status":"asleep","address":"b"}]})",
         R"({"index":1,"endpoints":[{"name":"a","status":"active"}]})"})
-    assert(!describe(std::get<ListError>(parse_endpoint_list(bad))).empty());
+    assert(!describe(parse_endpoint_list(bad).error()).empty());
   simdjson::dom::parser parser;
   auto assign = [&](std::string text) { return read_assignment(parser.parse(text)); };
   std::string settings =
@@ -512,7 +513,7 @@
       while (std::optional<std::string> line = lines.take_line()) {
         assert(line->size() <= text.size());
         ListResult result = parse_endpoint_list(*line);
-        if (const EndpointList* list = std::get_if<EndpointList>(&result)) lists += !list->entries.empty();
+        if (result) lists += !result.value().entries.empty();
       }
     }
     whole += reader.whole(), refused += reader.fault() != Fault::None;
