--- a/src/hot_restart/message.h
+++ b/src/hot_restart/message.h
@@ -23,7 +23,7 @@
 
 // The endpoint list of the predecessor, or a part of it: a list of any length is sent as several messages.
 struct EndpointListMessage {
-  EndpointList list;  // `whole` is set in the first part only
+  EndpointList list;  // `is_snapshot` is set in the first part only
 };
 
 // All operator overrides of the sender; they replace those of the receiver.
--- a/src/hot_restart/message_decoder.cpp
+++ b/src/hot_restart/message_decoder.cpp
@@ -1,6 +1,5 @@
 #include "src/hot_restart/message_decoder.h"
 
-#include <exception>
 #include <string>
 #include <utility>
 
@@ -13,15 +12,6 @@
 using Element = JsonReader::Element;
 using DecodeResult = Result<ControlMessage, DecodeError>;
 
-// The adapter to discovery's parser, which reports errors by exceptions.
-std::optional<EndpointList> parse_list(Element element) {
-  try {
-    return read_endpoint_list(element);
-  } catch (const std::exception&) {
-    return std::nullopt;
-  }
-}
-
 // Former versions, and discovery itself, send no times on the monotonic clock.
 void decode_list_times(JsonReader& reader, Element element, EndpointList& list) {
   const auto received_at_s = JsonReader::optional_member<double>(element, wire::kListReceivedAtKey);
@@ -39,11 +29,11 @@
   JsonReader reader;
   const std::optional<Element> element = reader.find(packet, wire::kListKey);
   if (!element) return *reader.error();
-  std::optional<EndpointList> list = parse_list(*element);
+  ListResult list = parse_endpoint_list(*element);
   if (!list) return DecodeError{DecodeFault::InvalidValue, wire::kListKey};
-  decode_list_times(reader, *element, *list);
+  decode_list_times(reader, *element, list.value());
   if (reader.error()) return *reader.error();
-  return ControlMessage(EndpointListMessage{std::move(*list)});
+  return ControlMessage(EndpointListMessage{std::move(list.value())});
 }
 
 DecodeResult decode_operator_overrides(Element packet) {
