--- a/src/policy/discovery_refresh_behavior_test.cpp
+++ b/src/policy/discovery_refresh_behavior_test.cpp
@@ -33,7 +33,10 @@
       host_.fail_list_poll();
       double failed_at_s = host_.now_s();
       std::size_t polls_before = host_.list_polls_s().size();
-      while (host_.list_polls_s().size() == polls_before) host_.run_for(0.1);
+      while (host_.list_polls_s().size() == polls_before && host_.now_s() < failed_at_s + kMostDelayS) {
+        host_.run_for(0.1);
+      }
+      EXPECT_EQ(host_.list_polls_s().size(), polls_before + 1);
       delays_s.push_back(host_.list_polls_s().back() - failed_at_s);
     }
     return delays_s;
@@ -41,6 +44,7 @@
 
  private:
   static constexpr unsigned kFirstSeed = 40;
+  static constexpr double kMostDelayS = 60;
 
   Deployment settings_;
   FakeHost host_;
--- a/src/policy/endpoint_table_behavior_test.cpp
+++ b/src/policy/endpoint_table_behavior_test.cpp
@@ -68,11 +68,13 @@
   }
   // The missing endpoint fails an attempt, which is retried; its ejection then ends.
   void fail_attempt_at_missing_endpoint() {
+    constexpr int kMostRequests = 400;
     host_.receive();
-    while (host_.last_sent().endpoint != "a1") {
+    for (int i = 1; i < kMostRequests && host_.last_sent().endpoint != "a1"; ++i) {
       host_.end_attempt(host_.last_sent(), Outcome::Delivered);
       host_.receive();
     }
+    ASSERT_EQ(host_.last_sent().endpoint, "a1");
     host_.end_attempt(host_.last_sent(), Outcome::ConnectFailed);
     host_.end_attempt(host_.last_sent(), Outcome::Delivered);
     host_.run_for(20);
