--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -103,7 +103,8 @@
 EndpointList read_endpoint_list(element json) {
   ListResult result = parse_endpoint_list(json);
   if (!result) throw Malformed(describe(result.error()));
-  return std::move(result.value());
+  EndpointList list = std::move(result.value());
+  return list;
 }
 
 ListResult ListParser::parse(std::string_view text) {
--- a/src/discovery/list_cursor.cpp
+++ b/src/discovery/list_cursor.cpp
@@ -46,7 +46,7 @@
   // to be complete: the next call asks for their changes again.
   if (list.is_snapshot || is_first_line) complete_index_ = list.index;
   held_index_ = list.index;
-  return std::move(list);
+  return PollResult(std::move(list));
 }
 
 void ListCursor::on_source_changed() {
--- a/testing/discovery_stand_ins.h
+++ b/testing/discovery_stand_ins.h
@@ -106,10 +106,11 @@
 
 // Takes the next call, which has to ask after that index, and answers it.
 inline Line answer_call(Listener& discovery, const std::string& after, const std::string& chunks) {
-  auto [line, request] = discovery.take_request();
-  EXPECT_EQ(request.target, "/v1/servers?watch=1&after=" + after);
+  std::pair<Line, HttpMessage> call = discovery.take_request();
+  EXPECT_EQ(call.second.target, "/v1/servers?watch=1&after=" + after);
+  Line line = std::move(call.first);
   line.say(kResponseHead + chunks);
-  return std::move(line);
+  return line;
 }
 
 // Takes the next call and says nothing.
