--- a/src/hot_restart/control_address_test.cpp
+++ b/src/hot_restart/control_address_test.cpp
@@ -28,8 +28,11 @@
 
  private:
   static void set(const char* value) {
-    if (value) setenv("TMPDIR", value, 1);
-    else unsetenv("TMPDIR");
+    if (value) {
+      setenv("TMPDIR", value, 1);
+    } else {
+      unsetenv("TMPDIR");
+    }
   }
   std::optional<std::string> former_;
 };
--- a/src/hot_restart/message_fuzz_test.cpp
+++ b/src/hot_restart/message_fuzz_test.cpp
@@ -112,8 +112,8 @@
   seeds.push_back(encode_message(ConnectionMessage{ConnectionHistory::Used}));
   seeds.push_back(encode_message(ListenerMessage{}));
   seeds.push_back(encode_message(SnapshotCompleteMessage{}));
-  seeds.push_back("PUT /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1");
-  seeds.push_back(
+  seeds.emplace_back("PUT /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-1");
+  seeds.emplace_back(
       "POST http://h/a?b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nT: v\r\n\r\n");
   return seeds;
 }
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -103,10 +103,10 @@
     }
     return {};
   }
-  Takeover& takeover = requested.value();
+  Takeover takeover = std::move(requested.value());
   if (takeover.list && takeover.list->index >= assignment.known.index) assignment.known = *takeover.list;
   log.event(Level::Info, "hot_restart.takeover_received").with("name", assignment.name);
-  return std::move(takeover);
+  return takeover;
 }
 
 }  // namespace
