--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -31,7 +31,8 @@
         is_first_attempt_(request.attempts.empty()),
         may_repeat_endpoint_(inputs.retry_safety.may_repeat_endpoint(request)),
         is_unsafe_(inputs.deployment.request_classes[request.class_index].idempotency == Idempotency::Unsafe),
-        counts_own_attempt_(!inputs.deployment.responses_report_load && !weights_are_shares),
+        needs_draw_(is_random_ || weights_are_shares || inputs.deployment.responses_report_load),
+        own_attempt_depth_(weights_are_shares || inputs.deployment.responses_report_load ? 0 : 1),
         cross_zone_depth_(kCrossZoneDepth * inputs.deployment.cross_zone_price) {}
 
   bool is_eligible(const Endpoint& endpoint) const {
@@ -59,11 +60,10 @@
     bool has_key = request_.key_hash != 0;
     double uniform =
         has_key ? to_unit_interval(hash_name(request_.key_hash, endpoint.name)) : random.uniform();
-    double draw = !counts_own_attempt_ || is_random_ ? -std::log(kSmallestDraw + uniform) : 0;
+    double draw = needs_draw_ ? -std::log(kSmallestDraw + uniform) : 0;
     double cross_zone = endpoint.zone == inputs_.deployment.zone ? 0 : cross_zone_depth_;
     double retry = is_repeat(endpoint) ? kSameEndpointRetryDepth : 0;
-    double depth =
-        double(endpoint.whole.in_flight.size()) + (counts_own_attempt_ ? 1 : 0) + cross_zone + retry;
+    double depth = double(endpoint.whole.in_flight.size()) + own_attempt_depth_ + cross_zone + retry;
     double tie = 0;
     if (weights_are_shares_) {
       tie = draw;
@@ -116,8 +116,9 @@
   bool is_first_attempt_;
   bool may_repeat_endpoint_;
   bool is_unsafe_;
-  bool counts_own_attempt_;  // in the depth; else an exponential draw breaks ties
-  double cross_zone_depth_;  // that another zone counts for
+  bool needs_draw_;           // an exponential draw decides, or breaks ties
+  double own_attempt_depth_;  // that the attempt itself counts for
+  double cross_zone_depth_;   // that another zone counts for
 };
 
 std::optional<EndpointIndex> select_among(const std::vector<EndpointIndex>& candidates,
