--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -34,8 +34,8 @@
       downstream_(loop, limiter, *this, kMostBody,
                   std::size_t(std::clamp(loop.descriptors().limit() / 32, kFewest, kMost))),
       listener_(loop, downstream_, 0, Listener::Turn::First) {
-  loop.descriptors().reserve(int(downstream_.most()) + 1);
-  downstream_.last_call(true);
+  loop.descriptors().reserve(int(downstream_.max_connections()) + 1);
+  downstream_.close_after_responses(true);
 }
 
 void AdminApi::on_request(DownstreamConnection& downstream, HttpMessage request) {
@@ -53,12 +53,12 @@
                  : say(downstream, 503, "not ready: this process takes no clients");
 }
 void AdminApi::telemetry(DownstreamConnection& downstream, std::string_view) {
-  downstream.answer(200, nullptr, "Content-Type: text/plain; version=0.0.4\r\n", owner_.telemetry(), true);
+  downstream.respond(200, nullptr, "Content-Type: text/plain; version=0.0.4\r\n", owner_.telemetry(), true);
 }
 void AdminApi::fleet(DownstreamConnection& downstream, std::string_view) {
   std::string shown = owner_.fleet();
   if (shown.empty()) return say(downstream, 404, "this process is part of no fleet");
-  downstream.answer(200, nullptr, "Content-Type: application/json\r\n", shown, true);
+  downstream.respond(200, nullptr, "Content-Type: application/json\r\n", shown, true);
 }
 void AdminApi::exclude(DownstreamConnection& downstream, std::string_view body) {
   obeyed(downstream, operations_.exclude(loop_.now(), body));
@@ -82,7 +82,7 @@
 
 void AdminApi::say(DownstreamConnection& downstream, int status, std::string_view text,
                    std::string_view more_headers) {
-  downstream.answer(status, nullptr, more_headers, std::string(text) + "\n", true);
+  downstream.respond(status, nullptr, more_headers, std::string(text) + "\n", true);
 }
 
 }  // namespace puffinvane
--- a/src/admin/admin_api.h
+++ b/src/admin/admin_api.h
@@ -11,7 +11,7 @@
 
 namespace puffinvane {
 
-class AdminApi final : DownstreamConnections::Server {
+class AdminApi final : DownstreamConnections::RequestHandler {
  public:
   class Owner {
    public:
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -165,7 +165,7 @@
     std::cerr << "puffinvane: `" << asked.url << "` is no URL: http://host/path, or /path\n";
     return Useless;
   }
-  std::vector<routing::Field> fields;
+  std::vector<routing::HeaderField> fields;
   for (const std::string& header : asked.headers) {
     std::size_t colon = header.find(':');
     if (colon == std::string::npos || colon == 0) {
@@ -188,14 +188,14 @@
             : std::cout << "no route: a path with `.` or `..` is answered 400\n";
     return Bad;
   }
-  for (const routing::Verdict& verdict : routing::explain(*site, request)) {
+  for (const routing::RouteExplanation& verdict : routing::explain(*site, request)) {
     const site::Route& route = site->routes[std::size_t(verdict.route)];
     bool wins = verdict.route == decision.route;
     if (as_json) {
       out["routes"].push_back(
-          {{"route", route.name}, {"matches", verdict.matches}, {"wins", wins}, {"why", verdict.lost}});
+          {{"route", route.name}, {"matches", verdict.matches}, {"wins", wins}, {"why", verdict.why_not}});
     } else if (!wins) {
-      std::cout << "  route " << route.name << " " << verdict.lost << "\n";
+      std::cout << "  route " << route.name << " " << verdict.why_not << "\n";
     }
   }
   if (decision.route < 0) {
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -51,7 +51,7 @@
       backoff_(options.mode, options.backoff_seed),
       timeouts_(options.mode),
       connection_(loop, *this),
-      response_(HttpReader::Side::Answer, loop.pool(), kMaxUnreadBodyBytes) {
+      response_(HttpReader::Side::Response, loop.pool(), kMaxUnreadBodyBytes) {
   check_timeout();
 }
 
@@ -153,7 +153,7 @@
   last_bytes_at_s_ = loop_.now();
   response_.feed(bytes);
   if (std::optional<CallFailed> failure = response_failure()) return on_poll_result(*failure);
-  if (response_.in_body() || response_.whole()) on_response_body();
+  if (response_.in_body() || response_.is_complete()) on_response_body();
   dispatch_lines();
   if (is_receiving()) on_bytes_processed();
 }
@@ -161,7 +161,7 @@
 std::optional<CallFailed> DiscoveryWatch::response_failure() const {
   if (response_.fault() != HttpReader::Fault::None) return CallFailed{CallFailed::Reason::InvalidHttp, 0};
   int status = response_.message().status;
-  bool has_head = response_.in_body() || response_.whole();
+  bool has_head = response_.in_body() || response_.is_complete();
   if (has_head && status != 200) return CallFailed{CallFailed::Reason::HttpStatus, status};
   return std::nullopt;
 }
@@ -169,7 +169,7 @@
 void DiscoveryWatch::on_response_body() {
   record_date();
   if (is_pushed() && asks_for_changes()) apply(Event::ResponseReceived);
-  lines_.append(response_.take_body());
+  lines_.append(response_.take_body_text());
 }
 
 // Once for each call: the date is of when the response began.
@@ -193,7 +193,7 @@
 
 void DiscoveryWatch::on_bytes_processed() {
   if (lines_.exceeds_size_limit()) return on_poll_result(ListError{ListFault::TooLong, ""});
-  if (response_.whole()) return apply(Event::CallEnded);
+  if (response_.is_complete()) return apply(Event::CallEnded);
   if (lines_.ends_inside_list()) reject_list_if_cut_off();
 }
 
--- a/src/hot_restart/message_fuzz_test.cpp
+++ b/src/hot_restart/message_fuzz_test.cpp
@@ -48,9 +48,9 @@
 // Feeds a reader byte by byte until its message is complete or refused, and collects the body.
 void feed_bytewise(HttpReader& reader, std::string_view text, BufferChain& body) {
   for (std::size_t i = 0; i < text.size(); ++i) {
-    if (reader.whole() || reader.fault() != HttpReader::Fault::None) return;
+    if (reader.is_complete() || reader.fault() != HttpReader::Fault::None) return;
     reader.feed(text.substr(i, 1));
-    if (reader.in_body()) body.add(reader.take_part());
+    if (reader.in_body()) body.add(reader.take_body_part());
   }
 }
 
@@ -67,10 +67,10 @@
   feed_bytewise(bytewise, text, body);
 
   ASSERT_LE(used, text.size());
-  if (!reader.whole()) return;
+  if (!reader.is_complete()) return;
   ASSERT_LE(reader.message().body.size(), kMaxBodyBytes);
-  ASSERT_TRUE(bytewise.whole());
-  body.add(bytewise.take_part());
+  ASSERT_TRUE(bytewise.is_complete());
+  body.add(bytewise.take_body_part());
   ASSERT_EQ(body.text(), reader.message().body.text());
 }
 
--- a/src/http/headers.cpp
+++ b/src/http/headers.cpp
@@ -21,26 +21,26 @@
   return target.substr(0, target.find_first_of("/?"));
 }
 
-std::optional<double> read_time_left(std::string_view value) {
+std::optional<double> parse_remaining_deadline(std::string_view value) {
   double units = value.ends_with('m') ? 1e-3 : value.ends_with('u') ? 1e-6 : 0, count = 0;
   if (units == 0 || !number(value.substr(0, value.size() - 1), count) || count < 0) return {};
   return std::min(count * units, 3600.0);  // an hour outlasts any client timeout and any clock sum
 }
 
-std::optional<double> time_left_of(const HttpMessage& request, double most) {
-  int given = request.count("X-Time-Left");
+std::optional<double> remaining_deadline_of(const HttpMessage& request, double most) {
+  int given = request.header_count("X-Time-Left");
   if (given == 0) return most;
-  std::optional<double> read = read_time_left(request.header("X-Time-Left"));
+  std::optional<double> read = parse_remaining_deadline(request.header("X-Time-Left"));
   if (!read || given > 1) return {};
   // No client waits longer than its request class lets it: a request of a year would be kept for as long.
   return std::min(most, *read);
 }
 
-std::string write_time_left(double seconds) {
+std::string format_remaining_deadline(double seconds) {
   return std::to_string(std::int64_t(std::max(0.0, seconds) * 1e6)) + "u";
 }
 
-std::string write_wait(double seconds) {
+std::string format_retry_after(double seconds) {
   char buffer[32];
   auto end = std::to_chars(buffer, buffer + sizeof buffer, seconds, std::chars_format::fixed, 3).ptr;
   return {buffer, end};
@@ -58,7 +58,7 @@
 }
 }  // namespace
 
-Load read_load(std::string_view value) {
+Load parse_load(std::string_view value) {
   Load load;
   int best = 4;
   each_pair(value, [&](std::string_view name, std::string_view said) {
@@ -75,7 +75,7 @@
   return load;
 }
 
-RequestFacts read_facts(std::string_view value) {
+RequestFacts parse_request_facts(std::string_view value) {
   RequestFacts facts;
   each_pair(value, [&](std::string_view name, std::string_view said) {
     double figure = 0;
@@ -92,10 +92,10 @@
   return turned_away ? Outcome::Refused : Outcome::Failed;
 }
 
-Outcome outcome_of_any(const HttpMessage& answer) {
+Outcome outcome_of_any_status(const HttpMessage& answer) {
   return answer.status < 500 ? Outcome::Delivered : outcome_of(answer);
 }
 
-Outcome outcome_of_break(bool written) { return written ? Outcome::Broken : Outcome::ConnectFailed; }
+Outcome outcome_of_disconnect(bool written) { return written ? Outcome::Broken : Outcome::ConnectFailed; }
 
 }  // namespace puffinvane
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -90,7 +90,7 @@
   return {};
 }
 
-int HttpMessage::count(std::string_view name) const {
+int HttpMessage::header_count(std::string_view name) const {
   return int(std::count_if(headers.begin(), headers.end(),
                            [&](const Header& header) { return same_name(header.name, name); }));
 }
@@ -115,7 +115,7 @@
     std::size_t end = bytes.find('\n');
     std::size_t count = end == std::string_view::npos ? bytes.size() : end + 1;
     // Chunk lines start the count anew: a long stream of small chunks is no large head.
-    if ((head_ += count) > kMostHead) {
+    if ((head_ += count) > kMaxHeadBytes) {
       fail(Fault::HeadTooLarge);
       break;
     }
@@ -135,7 +135,7 @@
   return all - bytes.size();
 }
 
-void HttpReader::end() {
+void HttpReader::end_of_input() {
   if (state_ == State::ToEnd) state_ = State::Whole;
 }
 
@@ -147,15 +147,15 @@
   return taken;
 }
 
-HttpMessage HttpReader::take_begun() {
+HttpMessage HttpReader::take_head() {
   HttpMessage begun = std::exchange(message_, HttpMessage(*pool_));
   message_.keep_alive = begun.keep_alive, message_.status = begun.status;
   return begun;
 }
 
-BufferChain HttpReader::take_part() { return std::exchange(message_.body, BufferChain(*pool_)); }
+BufferChain HttpReader::take_body_part() { return std::exchange(message_.body, BufferChain(*pool_)); }
 
-std::string HttpReader::take_body() {
+std::string HttpReader::take_body_text() {
   std::string text = message_.body.text();
   message_.body.clear();
   return text;
@@ -231,19 +231,19 @@
     }
   }
   if (chunked && sized) return fail(Fault::Malformed);
-  if (side_ == Side::Answer && message_.status < 200) {  // an interim answer: the real one follows
+  if (side_ == Side::Response && message_.status < 200) {  // an interim answer: the real one follows
     // The count of the head goes on: interim answers without end are a head without end.
     message_ = HttpMessage(*pool_);
     state_ = State::Start;
     return;
   }
-  bool bodiless = side_ == Side::Answer && (no_body_ || message_.status == 204 || message_.status == 304);
+  bool bodiless = side_ == Side::Response && (no_body_ || message_.status == 204 || message_.status == 304);
   if (sized && size > most_body_ && !bodiless) return fail(Fault::BodyTooLarge);
   if (sized && !bodiless) declared_ = size;
   left_ = size;
   if (bodiless) state_ = State::Whole;
   else if (chunked) state_ = State::ChunkSize, head_ = 0;
-  else if (side_ == Side::Answer && !sized) state_ = State::ToEnd, message_.keep_alive = false;
+  else if (side_ == Side::Response && !sized) state_ = State::ToEnd, message_.keep_alive = false;
   else state_ = size == 0 ? State::Whole : State::Body;
 }
 
@@ -273,7 +273,7 @@
   return true;
 }
 
-bool passes_on(std::string_view header) {
+bool is_forwarded_header(std::string_view header) {
   static constexpr std::string_view kOwn[] = {
       "Connection",   "Keep-Alive", "Proxy-Connection", "TE",   "Trailer",     "Transfer-Encoding",
       "Upgrade",      "Expect",     "Content-Length",   "Host", "X-Time-Left", "X-Backend-Load",
@@ -286,17 +286,17 @@
 void add_headers(std::string& head, const HttpMessage& from) {
   std::string_view named = from.header("Connection");
   for (const Header& header : from.headers) {
-    if (!passes_on(header.name) || lists(named, header.name)) continue;
+    if (!is_forwarded_header(header.name) || lists(named, header.name)) continue;
     head.append(header.name).append(": ").append(header.value).append("\r\n");
   }
 }
-void add_framing(std::string& head, Parts parts) {
+void add_framing(std::string& head, BodyFraming parts) {
   if (parts.size) head.append("Content-Length: ").append(std::to_string(*parts.size)).append("\r\n");
   else if (!parts.to_end) head.append("Transfer-Encoding: chunked\r\n");
 }
 }  // namespace
 
-void write_answer_head(BufferChain& out, const HttpMessage& from, Parts parts, bool close) {
+void write_response_head(BufferChain& out, const HttpMessage& from, BodyFraming parts, bool close) {
   std::string head = "HTTP/1.1 " + std::to_string(from.status) + " ";
   head.append(reason(from.status)).append("\r\n");
   add_headers(head, from);
@@ -316,7 +316,7 @@
 void write_last_chunk(BufferChain& out) { out.add("0\r\n\r\n"); }
 
 void write_request(BufferChain& out, const HttpMessage& request, std::string_view host,
-                   std::string_view time_left, std::optional<Parts> parts) {
+                   std::string_view time_left, std::optional<BodyFraming> parts) {
   std::string head = request.method + " " + request.target + " HTTP/1.1\r\n";
   std::string_view named = request.header("Host");
   head.append("Host: ").append(named.empty() ? host : named).append("\r\n");
@@ -332,8 +332,8 @@
   out.add(request.body);
 }
 
-void write_answer(BufferChain& out, int status, const HttpMessage* from, std::string_view more_headers,
-                  std::string_view text, bool close, bool to_head) {
+void write_response(BufferChain& out, int status, const HttpMessage* from, std::string_view more_headers,
+                    std::string_view text, bool close, bool to_head) {
   std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
   head.append(reason(status)).append("\r\n");
   if (from) add_headers(head, *from);
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -18,7 +18,7 @@
 struct HttpMessage {
   explicit HttpMessage(BufferPool& pool) : body(pool) {}
   std::string_view header(std::string_view name) const;  // empty if there is none
-  int count(std::string_view name) const;                // how often a header stands there
+  int header_count(std::string_view name) const;         // how often a header stands there
 
   std::string method, target;  // of a request
   int status = 0;              // of an answer
@@ -32,13 +32,14 @@
 
 class HttpReader {
  public:
-  enum class Side { Request, Answer };
+  enum class Side { Request, Response };
   enum class Fault { None, Malformed, HeadTooLarge, BodyTooLarge };
-  static constexpr std::size_t kMostHead = 16 * 1024, kMostBody = 64 * 1024;
-  static constexpr std::size_t kMostStreamed = 32u << 20;
+  static constexpr std::size_t kMaxHeadBytes = 16 * 1024, kMaxBodyBytes = 64 * 1024;
+  static constexpr std::size_t kMaxStreamedBodyBytes = 32u << 20;
 
   // Bodies over most_body are faults, unless they may be taken in parts, up to most_streamed.
-  HttpReader(Side side, BufferPool& pool, std::size_t most_body = kMostBody, std::size_t most_streamed = 0)
+  HttpReader(Side side, BufferPool& pool, std::size_t most_body = kMaxBodyBytes,
+             std::size_t most_streamed = 0)
       : side_(side),
         pool_(&pool),
         most_body_(std::max(most_body, most_streamed)),
@@ -47,24 +48,24 @@
 
   // Returns how many bytes it used: after a whole message or a fault it takes no more.
   std::size_t feed(std::string_view bytes);
-  void end();  // the connection ended: that is the end of an answer that says no length
-  bool whole() const { return state_ == State::Whole; }
+  void end_of_input();  // the connection ended: that is the end of an answer that says no length
+  bool is_complete() const { return state_ == State::Whole; }
   // One empty line is what some leave behind a body; more of them are a head that never ends.
   bool started() const { return state_ != State::Start || !line_.empty() || head_ > 2; }
   bool in_body() const { return state_ >= State::Body && state_ < State::Whole; }
   Fault fault() const { return fault_; }
-  bool streams() const { return streams_; }
-  std::optional<std::size_t> declared() const {
+  bool is_streaming() const { return streams_; }
+  std::optional<std::size_t> content_length() const {
     return declared_;
   }  // its body's length, once the head is read
-  std::size_t body_so_far() const { return seen_; }
-  HttpMessage take_begun();  // the message, with what there is of its body; what follows comes as take_part
-  BufferChain take_part();
+  std::size_t body_bytes_received() const { return seen_; }
+  HttpMessage take_head();  // the message, with what there is of its body; what follows comes as take_part
+  BufferChain take_body_part();
   const HttpMessage& message() const { return message_; }
   HttpMessage take();
   // The answer to a HEAD says how long it would be and is not.
   void expect_no_body(bool none) { no_body_ = none; }
-  std::string take_body();  // of an answer that goes on: what has come by now
+  std::string take_body_text();  // of an answer that goes on: what has come by now
 
  private:
   enum class State { Start, Headers, Body, ChunkSize, Chunk, ChunkEnd, Trailers, ToEnd, Whole, Bad };
@@ -97,19 +98,19 @@
 };
 
 // Headers that belong to one connection or that each hop words anew are not passed on.
-bool passes_on(std::string_view header);
+bool is_forwarded_header(std::string_view header);
 // Of a body that comes in parts; size: all of it, where that is known, else it goes in chunks.
-struct Parts {
+struct BodyFraming {
   std::optional<std::size_t> size;
   bool to_end = false;  // neither: its end is the connection's
 };
 // With parts only the head is written.
 void write_request(BufferChain& out, const HttpMessage& request, std::string_view host,
-                   std::string_view time_left, std::optional<Parts> parts = {});
-void write_answer_head(BufferChain& out, const HttpMessage& from, Parts parts, bool close);
+                   std::string_view time_left, std::optional<BodyFraming> parts = {});
+void write_response_head(BufferChain& out, const HttpMessage& from, BodyFraming parts, bool close);
 void write_chunk(BufferChain& out, const BufferChain& bytes);
 void write_last_chunk(BufferChain& out);
-void write_answer(BufferChain& out, int status, const HttpMessage* from, std::string_view more_headers,
-                  std::string_view text, bool close, bool to_head = false);
+void write_response(BufferChain& out, int status, const HttpMessage* from, std::string_view more_headers,
+                    std::string_view text, bool close, bool to_head = false);
 
 }  // namespace puffinvane
--- a/src/proxy/downstream_connection.cpp
+++ b/src/proxy/downstream_connection.cpp
@@ -75,7 +75,7 @@
 
 void DownstreamConnection::turn(Input input) { apply_transition(kRows, *this, state_, input); }
 
-void DownstreamConnection::look(double now) {
+void DownstreamConnection::check_timeouts(double now) {
   if (state_ == State::Reading || state_ == State::Uploading) {
     end_if_overdue(now);
   } else if (state_ == State::Relaying) {
@@ -83,21 +83,22 @@
   } else if (state_ == State::Lingering) {
     if (now - heard_ > kLinger || now - used_ > kLongestLinger) turn(Input::Ended);
   } else if (state_ == State::Answering || state_ == State::Parting) {
-    if (now - used_ > owner_.longest_wait() + kUnread) turn(Input::Ended);
+    if (now - used_ > owner_.longest_client_timeout() + kUnread) turn(Input::Ended);
   }
 }
 
 // What lies unread is read first: it may be the rest of the request.
 void DownstreamConnection::end_if_overdue(double now) {
   const bool is_overdue = reader_.started() ? slow(now) : !asked_ && now - used_ > kHalf;
-  if (is_overdue && quiet()) turn(reader_.started() ? Input::Late : Input::Drop);
+  if (is_overdue && has_no_unread_input()) turn(reader_.started() ? Input::Late : Input::Drop);
 }
 
 // By its pace, not by its start alone: a byte now and then would else hold its place for ever.
 bool DownstreamConnection::slow(double now) const {
   if (!reader_.in_body()) return now - used_ > kHalfHead;
   if (!tcp_.reads()) return false;  // it is we who don't read
-  return now - heard_ > kHalf || now - used_ > kHalfHead + kHalf + double(reader_.body_so_far()) / kPace;
+  return now - heard_ > kHalf ||
+         now - used_ > kHalfHead + kHalf + double(reader_.body_bytes_received()) / kPace;
 }
 
 void DownstreamConnection::on_received(std::string_view bytes) {
@@ -125,13 +126,13 @@
   if (!entered && !behind) came_ = loop_.now() - loop_.stalled();
 }
 
-bool DownstreamConnection::gone() {
+bool DownstreamConnection::check_client_closed() {
   if (state_ == State::Waiting) read_ahead();
   return tcp_.over();
 }
 
 void DownstreamConnection::read_ahead() {
-  const std::size_t most = std::min(kMostAhead, owner_.most_held());
+  const std::size_t most = std::min(kMostAhead, owner_.max_buffered_body());
   while (unread_.size() < most && tcp_.crowded()) {
     note_arrival();
     if (!tcp_.read_into(unread_)) return;
@@ -142,12 +143,14 @@
   while ((state_ == State::Reading || state_ == State::Uploading) && !unread_.empty()) {
     unread_.drop(reader_.feed(unread_.front()));
     if (reader_.fault() != HttpReader::Fault::None) return turn(Input::Fault);
-    if (reader_.whole()) return turn(Input::Request);
+    if (reader_.is_complete()) return turn(Input::Request);
     if (state_ == State::Uploading) {
-      if (request && reader_.in_body()) request->by->on_part(request->request, reader_.take_part(), false);
+      if (open_request && reader_.in_body())
+        open_request->owner->on_body_part(open_request->id, reader_.take_body_part(), false);
       continue;
     }
-    if (reader_.streams() && reader_.in_body() && reader_.body_so_far() > owner_.most_held()) {
+    if (reader_.is_streaming() && reader_.in_body() &&
+        reader_.body_bytes_received() > owner_.max_buffered_body()) {
       turn(Input::Begun);
       continue;
     }
@@ -157,18 +160,19 @@
       tcp_.send(std::move(out));
     }
   }
-  if (parts_ && idle()) drop();  // its last answer waited for what lay behind, and that was no request
+  if (parts_ && is_idle())
+    close_gracefully();  // its last answer waited for what lay behind, and that was no request
 }
 
 void DownstreamConnection::begin() {
-  HttpMessage message = reader_.take_begun();
+  HttpMessage message = reader_.take_head();
   keep_alive_ = message.keep_alive;
   to_head_ = false, old_ = message.old;
   asked_ = true;
   owner_.on_request(*this, std::move(message));
 }
 
-void DownstreamConnection::hold_back(bool on) {
+void DownstreamConnection::pause_reading(bool on) {
   double now = loop_.now();
   if (on && tcp_.reads()) held_since_ = now;
   if (!on && !tcp_.reads()) used_ += now - held_since_, heard_ = now;  // it was not the client that paused
@@ -177,25 +181,25 @@
 
 void DownstreamConnection::hand_over_rest() {
   continued_ = false;
-  BufferChain rest = reader_.take_part();
+  BufferChain rest = reader_.take_body_part();
   reader_.take();
-  if (request) request->by->on_part(request->request, std::move(rest), true);
+  if (open_request) open_request->owner->on_body_part(open_request->id, std::move(rest), true);
 }
 
-void DownstreamConnection::begin_answer(const HttpMessage& from, std::optional<std::size_t> size) {
+void DownstreamConnection::begin_response(const HttpMessage& from, std::optional<std::size_t> size) {
   if (state_ != State::Waiting) return;
   chunks_ = !size && !old_;
   bool its_own_word = !keep_alive_;
   keep_alive_ = keep_alive_ && (size || chunks_) && !ends_here(false);
   if (!keep_alive_) close_after(its_own_word);
   BufferChain out(loop_.pool());
-  write_answer_head(out, from, {size, !chunks_}, !keep_alive_);
+  write_response_head(out, from, {size, !chunks_}, !keep_alive_);
   used_ = loop_.now();
   turn(Input::Relay);
   tcp_.send(std::move(out));
 }
 
-void DownstreamConnection::more(BufferChain bytes) {
+void DownstreamConnection::send_body_part(BufferChain bytes) {
   if (state_ != State::Relaying || bytes.empty()) return;
   BufferChain out(loop_.pool());
   chunks_ ? write_chunk(out, bytes) : void(out = std::move(bytes));
@@ -203,7 +207,7 @@
   tcp_.send(std::move(out));
 }
 
-void DownstreamConnection::end_answer() {
+void DownstreamConnection::end_response() {
   if (state_ != State::Relaying) return;
   used_ = loop_.now();
   turn(keep_alive_ ? Input::Answer : Input::LastAnswer);
@@ -215,7 +219,7 @@
 
 void DownstreamConnection::drained() {
   used_ = loop_.now();
-  if (request) request->by->on_drained(request->request);
+  if (open_request) open_request->owner->on_response_drained(open_request->id);
 }
 
 void DownstreamConnection::hand_over() {
@@ -229,8 +233,8 @@
 
 // Its request can't become whole any more; what was sent on of it is given up.
 void DownstreamConnection::refuse_rest() {
-  if (std::optional<OpenRequest> given_up = std::exchange(request, {}))
-    given_up->by->on_client_left(given_up->request);
+  if (std::optional<OpenRequest> given_up = std::exchange(open_request, {}))
+    given_up->owner->on_client_disconnected(given_up->id);
   refuse();
 }
 
@@ -242,19 +246,19 @@
   used_ = loop_.now();
   reads_out_ = true;
   BufferChain out(loop_.pool());
-  write_answer(out, status, nullptr, "", "this request can't be read\n", true);
+  write_response(out, status, nullptr, "", "this request can't be read\n", true);
   tcp_.send(std::move(out));
   if (tcp_.written()) turn(Input::Written);
 }
 
-void DownstreamConnection::answer(int status, const HttpMessage* from, std::string_view more_headers,
-                                  std::string_view text, bool last) {
+void DownstreamConnection::respond(int status, const HttpMessage* from, std::string_view more_headers,
+                                   std::string_view text, bool last) {
   if (state_ != State::Waiting && state_ != State::Uploading) return;
   const bool its_own_word = state_ == State::Uploading || !keep_alive_;
   last = its_own_word || ends_here(last);
   if (last) close_after(its_own_word);
   BufferChain out(loop_.pool());
-  write_answer(out, status, from, more_headers, text, last, to_head_);
+  write_response(out, status, from, more_headers, text, last, to_head_);
   used_ = loop_.now();
   turn(last ? Input::LastAnswer : Input::Answer);
   tcp_.send(std::move(out));
@@ -270,8 +274,8 @@
 // Whether the answer in hand is the last for our own reasons. What was sent behind its request has been
 // taken: closed on, it would be lost.
 bool DownstreamConnection::ends_here(bool asked_for) const {
-  bool more_waits = !unread_.empty() || !quiet();
-  return (asked_for || parts_ || owner_.last_call()) && !more_waits;
+  bool more_waits = !unread_.empty() || !has_no_unread_input();
+  return (asked_for || parts_ || owner_.closes_after_response()) && !more_waits;
 }
 
 // its_own_word: the client said that it sends no more requests, or it is amid one that is read no further.
@@ -292,12 +296,12 @@
 // Where neither a length nor chunks say so, only a reset tells the client that it has not got all.
 void DownstreamConnection::leave_cut() {
   tcp_.reset();
-  owner_.on_left(*this);
+  owner_.on_closed(*this);
 }
 
 void DownstreamConnection::leave() {
   tcp_.close();
-  owner_.on_left(*this);
+  owner_.on_closed(*this);
 }
 
 }  // namespace puffinvane
--- a/src/proxy/downstream_connection.h
+++ b/src/proxy/downstream_connection.h
@@ -17,22 +17,24 @@
    public:
     virtual ~Owner() = default;
     virtual void on_request(DownstreamConnection& downstream, HttpMessage message) = 0;
-    virtual void on_left(
-        DownstreamConnection& downstream) = 0;  // its connection is over; the owner lets go of it
-    virtual bool last_call() const = 0;         // answers are the last on their connections
-    virtual std::size_t most_held() const = 0;  // of a body, before it is handed over in parts
-    virtual double longest_wait() const = 0;    // seconds that a client may have for its answer
+    virtual void on_closed(
+        DownstreamConnection& downstream) = 0;          // its connection is over; the owner lets go of it
+    virtual bool closes_after_response() const = 0;     // answers are the last on their connections
+    virtual std::size_t max_buffered_body() const = 0;  // of a body, before it is handed over in parts
+    virtual double longest_client_timeout() const = 0;  // seconds that a client may have for its answer
   };
   class RequestOwner {  // who has its pending request
    public:
     virtual ~RequestOwner() = default;
-    virtual void on_client_left(std::uint32_t request) = 0;
-    virtual void on_part(std::uint32_t request, BufferChain bytes, bool whole) = 0;  // of its request's body
-    virtual void on_drained(std::uint32_t request) = 0;  // its client has been sent all that there was
+    virtual void on_client_disconnected(std::uint32_t request) = 0;
+    virtual void on_body_part(std::uint32_t request, BufferChain bytes,
+                              bool whole) = 0;  // of its request's body
+    virtual void on_response_drained(
+        std::uint32_t request) = 0;  // its client has been sent all that there was
   };
   struct OpenRequest {
-    RequestOwner* by = nullptr;
-    std::uint32_t request = 0;
+    RequestOwner* owner = nullptr;
+    std::uint32_t id = 0;
   };
 
   // waited: seconds that what it sent may have lain at the listener. asked: it has sent a whole request on
@@ -41,53 +43,59 @@
                        std::size_t most_body, std::size_t most_streamed, bool asked = false);
 
   // last: on this connection, unless more was sent behind its request, which is answered first.
-  void answer(int status, const HttpMessage* from, std::string_view more_headers, std::string_view text,
-              bool last);
+  void respond(int status, const HttpMessage* from, std::string_view more_headers, std::string_view text,
+               bool last);
   // An answer that goes on while it comes; nothing else is on its connection until its end, or until it is
   // cut, so that the client can tell.
-  void begin_answer(const HttpMessage& from, std::optional<std::size_t> size);
-  void more(BufferChain bytes);
-  void end_answer();
-  void cut_answer() { turn(Input::Cut); }
-  bool behind() const { return tcp_.unsent() > kMostBehind; }  // it does not read as fast as that comes
+  void begin_response(const HttpMessage& from, std::optional<std::size_t> size);
+  void send_body_part(BufferChain bytes);
+  void end_response();
+  void abort_response() { turn(Input::Cut); }
+  bool has_write_backlog() const {
+    return tcp_.unsent() > kMostBehind;
+  }  // it does not read as fast as that comes
   // Of a request handed over before its body was whole.
-  bool uploading() const { return state_ == State::Uploading; }
-  std::optional<std::size_t> length() const { return reader_.declared(); }
-  void hold_back(bool on);
+  bool is_uploading() const { return state_ == State::Uploading; }
+  std::optional<std::size_t> content_length() const { return reader_.content_length(); }
+  void pause_reading(bool on);
   // For how long it has been held back, if it is: its last byte may have come so long ago.
-  double held_back_for() const { return tcp_.reads() ? 0 : loop_.now() - held_since_; }
-  void part() { turn(Input::Ended); }
+  double reading_paused_for() const { return tcp_.reads() ? 0 : loop_.now() - held_since_; }
+  void close() { turn(Input::Ended); }
   // Between requests: says that it sends no more, and closes soon. What crosses that is never read.
-  void drop() { turn(Input::Drop); }
+  void close_gracefully() { turn(Input::Drop); }
   // It has closed its connection, whether that was read or not. What lies before that is read ahead, up to a
   // bound.
-  bool gone();
+  bool check_client_closed();
   // More than that lies unread, and maybe its end. Amid an upload that is its body, without whose last byte
   // nothing begins.
-  bool may_be_gone() const { return state_ == State::Waiting && tcp_.crowded(); }
+  bool client_close_undetectable() const { return state_ == State::Waiting && tcp_.crowded(); }
   // Between requests, with none on its way: closing crosses nothing that was read.
-  bool idle() const { return between() && tcp_.quiet(); }
-  bool asked() const { return asked_; }
+  bool is_idle() const { return between() && tcp_.quiet(); }
+  bool has_sent_request() const { return asked_; }
   // Its connection, where nothing of a request was read and nothing of an answer is unwritten: what the
   // system holds goes over with it.
-  GSocket* to_hand_over() const { return between() ? tcp_.socket() : nullptr; }
-  void handed_over() {
+  GSocket* transferable_socket() const { return between() ? tcp_.socket() : nullptr; }
+  void release_transferred_socket() {
     tcp_.release();
-    part();
+    close();
   }
   // For how long the request that is handed over may have lain, whole, at the listener or behind another one.
-  double lain() const { return std::max(0.0, loop_.now() - came_); }
-  bool lingers() const { return state_ == State::Lingering; }            // it has its last answer
-  bool newcomer() const { return state_ == State::Reading && !asked_; }  // has not sent one whole request
+  double queueing_time() const { return std::max(0.0, loop_.now() - came_); }
+  bool is_lingering() const { return state_ == State::Lingering; }  // it has its last answer
+  bool awaits_first_request() const {
+    return state_ == State::Reading && !asked_;
+  }  // has not sent one whole request
   // Ends what has stood for longer than is owed to it: half a request, nothing at all, an answer unread.
-  void look(double now);
-  bool quiet() const { return tcp_.quiet(); }  // nothing of what it has sent, nor its end, lies unread
-  double used() const { return used_; }
-  double heard() const { return heard_; }           // when its last byte came, or it did
-  bool begun() const { return reader_.started(); }  // some of a request has come
-  int listener() const { return listener_; }        // that it came in by
-  void part_soon() { parts_ = true; }               // the next answer is the last
-  std::optional<OpenRequest> request;
+  void check_timeouts(double now);
+  bool has_no_unread_input() const {
+    return tcp_.quiet();
+  }  // nothing of what it has sent, nor its end, lies unread
+  double last_progress() const { return used_; }
+  double last_received() const { return heard_; }                 // when its last byte came, or it did
+  bool has_partial_request() const { return reader_.started(); }  // some of a request has come
+  int listener() const { return listener_; }                      // that it came in by
+  void close_after_next_response() { parts_ = true; }             // the next answer is the last
+  std::optional<OpenRequest> open_request;
 
  private:
   static constexpr std::size_t kMostBehind = 64 * 1024;
--- a/src/proxy/downstream_connections.cpp
+++ b/src/proxy/downstream_connections.cpp
@@ -19,20 +19,21 @@
                       kMostSpare = 64;  // of the places for clients, that are made free ahead of need
 }  // namespace
 
-DownstreamConnections::DownstreamConnections(Loop& loop, ConnectionLimiter& limiter, Server& server,
+DownstreamConnections::DownstreamConnections(Loop& loop, ConnectionLimiter& limiter, RequestHandler& handler,
                                              std::size_t most_body, std::size_t most,
                                              std::size_t most_streamed)
     : loop_(loop),
       limiter_(limiter),
-      server_(server),
+      handler_(handler),
       most_body_(most_body),
-      most_(most),
+      max_connections_(most),
       most_streamed_(most_streamed) {
   sweep();
 }
 
 bool DownstreamConnections::has_room() {
-  return most_ > 0 ? connections_.size() < most_ : limiter_.room_for_downstream(connections_.size());
+  return max_connections_ > 0 ? connections_.size() < max_connections_
+                              : limiter_.has_room_for_downstream(connections_.size());
 }
 
 bool DownstreamConnections::may_accept() {
@@ -57,31 +58,31 @@
 void DownstreamConnections::hand_over(const std::function<bool(GSocket* client, bool asked)>& take) {
   std::vector<DownstreamConnection*> between;
   for (auto& [key, downstream] : connections_) {
-    if (downstream->to_hand_over()) between.push_back(downstream.get());
+    if (downstream->transferable_socket()) between.push_back(downstream.get());
   }
   for (DownstreamConnection* downstream : between) {
-    if (!take(downstream->to_hand_over(), downstream->asked())) return;
-    downstream->handed_over();
+    if (!take(downstream->transferable_socket(), downstream->has_sent_request())) return;
+    downstream->release_transferred_socket();
   }
 }
 
 void DownstreamConnections::on_request(DownstreamConnection& downstream, HttpMessage message) {
-  server_.on_request(downstream, std::move(message));
+  handler_.on_request(downstream, std::move(message));
 }
 
-void DownstreamConnections::on_left(DownstreamConnection& downstream) {
+void DownstreamConnections::on_closed(DownstreamConnection& downstream) {
   std::unique_ptr<DownstreamConnection> owned = std::move(connections_.extract(&downstream).mapped());
-  if (std::optional<DownstreamConnection::OpenRequest> request = std::exchange(downstream.request, {}))
-    request->by->on_client_left(request->request);
+  if (std::optional<DownstreamConnection::OpenRequest> request = std::exchange(downstream.open_request, {}))
+    request->owner->on_client_disconnected(request->id);
   loop_.bury(std::move(owned));
 }
 
 // Some places are made free ahead of need: a connection that rests is shut first and closed once it was read
 // out, and made free one by one at the moment that somebody knocks, that held up whoever waited behind.
 void DownstreamConnections::make_room() {
-  const std::size_t places = most_ > 0 ? most_ : limiter_.places_for_downstream();
+  const std::size_t places = max_connections_ > 0 ? max_connections_ : limiter_.max_downstream_connections();
   const std::size_t left = places - std::min(places, connections_.size());
-  const std::size_t spare = most_ > 0 ? 1 : std::clamp<std::size_t>(places / kPart, 1, kMostSpare);
+  const std::size_t spare = max_connections_ > 0 ? 1 : std::clamp<std::size_t>(places / kPart, 1, kMostSpare);
   const bool full = !has_room();
   const double now = loop_.now();
   if (!full && (left >= spare || now < looked_ + kBetweenLooks)) return;
@@ -94,17 +95,20 @@
   std::vector<std::tuple<Rank, double, DownstreamConnection*>> ripe;
   std::size_t free = left;
   for (auto& [key, downstream] : connections_) {
-    if (downstream->newcomer()) {
-      if (!downstream->quiet()) continue;  // what it has sent was only not read yet
-      double silent = most_ > 0 ? kAtOnce : downstream->begun() ? kStopped : kNewcomer;
-      if (now - downstream->heard() > silent)
-        ripe.emplace_back(downstream->begun() ? Stopped : Silent, downstream->heard(), downstream.get());
-    } else if (downstream->lingers()) {
-      if (now - downstream->used() > kReadOut)
-        ripe.emplace_back(ReadOut, downstream->used(), downstream.get());
+    if (downstream->awaits_first_request()) {
+      if (!downstream->has_no_unread_input()) continue;  // what it has sent was only not read yet
+      double silent = max_connections_ > 0                ? kAtOnce
+                      : downstream->has_partial_request() ? kStopped
+                                                          : kNewcomer;
+      if (now - downstream->last_received() > silent)
+        ripe.emplace_back(downstream->has_partial_request() ? Stopped : Silent, downstream->last_received(),
+                          downstream.get());
+    } else if (downstream->is_lingering()) {
+      if (now - downstream->last_progress() > kReadOut)
+        ripe.emplace_back(ReadOut, downstream->last_progress(), downstream.get());
       else ++free;
-    } else if (downstream->idle() && (full || now - downstream->used() > kRead)) {
-      ripe.emplace_back(Resting, downstream->used(), downstream.get());
+    } else if (downstream->is_idle() && (full || now - downstream->last_progress() > kRead)) {
+      ripe.emplace_back(Resting, downstream->last_progress(), downstream.get());
     }
   }
   std::sort(ripe.begin(), ripe.end());
@@ -113,7 +117,7 @@
     // Closed over a request that crosses, its answer of just now would be lost with the connection: it makes
     // room when it has had time to be read.
     bool at_once = rank != Resting || (!has_room() && now - since > kRead);
-    at_once ? downstream->part() : downstream->drop();
+    at_once ? downstream->close() : downstream->close_gracefully();
     ++free;
   }
 }
@@ -121,10 +125,10 @@
 void DownstreamConnections::close_idle(double longer_than) {
   std::vector<DownstreamConnection*> idle;
   for (auto& [key, downstream] : connections_) {
-    if (downstream->idle() && loop_.now() - downstream->used() >= longer_than)
+    if (downstream->is_idle() && loop_.now() - downstream->last_progress() >= longer_than)
       idle.push_back(downstream.get());
   }
-  for (DownstreamConnection* downstream : idle) downstream->drop();
+  for (DownstreamConnection* downstream : idle) downstream->close_gracefully();
 }
 
 void DownstreamConnections::close_listener(int listener) {
@@ -133,14 +137,14 @@
     if (downstream->listener() == listener) theirs.push_back(downstream.get());
   }
   for (DownstreamConnection* downstream : theirs)
-    downstream->idle() ? downstream->drop() : downstream->part_soon();
+    downstream->is_idle() ? downstream->close_gracefully() : downstream->close_after_next_response();
 }
 
 void DownstreamConnections::sweep() {
   double now = loop_.now();
   std::vector<DownstreamConnection*> all;
   for (auto& [key, downstream] : connections_) all.push_back(downstream.get());
-  for (DownstreamConnection* downstream : all) downstream->look(now);
+  for (DownstreamConnection* downstream : all) downstream->check_timeouts(now);
   loop_.at(now + kSweep, alive_.guard([this] { sweep(); }));
 }
 
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -42,11 +42,11 @@
       options_(std::move(options)),
       figures_(deployment_.request_classes.size()),
       policy_(make(loop.now(), deployment_, seed, *this)) {
-  limiter_.join(*this);
+  limiter_.add(*this);
   sweep();
 }
 
-RequestForwarder::~RequestForwarder() { limiter_.leave(*this); }
+RequestForwarder::~RequestForwarder() { limiter_.remove(*this); }
 
 void RequestForwarder::leave(double gone) {
   gone_ = gone;
@@ -135,7 +135,8 @@
     return {};
   }
   if (!addresses_.find(endpoint)) return Outcome::ConnectFailed;
-  if (!limiter_.room_for_attempt()) return Outcome::NotSent;  // our own want: it says nothing of the endpoint
+  if (!limiter_.make_room_for_attempt())
+    return Outcome::NotSent;  // our own want: it says nothing of the endpoint
   std::unique_ptr<UpstreamConnection> fresh = open(endpoint);
   if (!fresh) return Outcome::ConnectFailed;
   used = fresh.get();
@@ -204,11 +205,11 @@
 bool RequestForwarder::client_left(RequestId id) {
   DownstreamConnection* downstream = requests_.find(id)->downstream;
   if (!downstream) return false;
-  if (!downstream->gone())
-    return downstream->may_be_gone();  // can't be told: nothing is sent for it meanwhile
+  if (!downstream->check_client_closed())
+    return downstream->client_close_undetectable();  // can't be told: nothing is sent for it meanwhile
   loop_.soon(alive_.guard([this, id] {
     PendingRequest* left = requests_.find(id);
-    if (left && left->downstream) left->downstream->part();
+    if (left && left->downstream) left->downstream->close();
   }));
   return true;
 }
@@ -231,7 +232,7 @@
 }
 
 void RequestForwarder::reject_request(RequestId id, double wait) {
-  std::string advice = wait > 0 ? "Retry-After: " + write_wait(wait) + "\r\n" : "";
+  std::string advice = wait > 0 ? "Retry-After: " + format_retry_after(wait) + "\r\n" : "";
   conclude(id, 503, nullptr, advice, "bounced: trying again does no harm\n");
 }
 
@@ -255,12 +256,12 @@
   PendingRequest* request = requests_.find(id);
   if (!request || request->concluded()) return;
   DownstreamConnection& downstream = *std::exchange(request->downstream, nullptr);
-  downstream.request.reset();
+  downstream.open_request.reset();
   figures_.note(number_of(*request->request_class), status == 503 && !from   ? Ended::Rejected
                                                     : status == 502 && !from ? Ended::Failed
                                                     : status < 500           ? Ended::Delivered
                                                                              : Ended::Failed);
-  downstream.answer(status, from, more_headers, text, false);
+  downstream.respond(status, from, more_headers, text, false);
   // Not forgotten here: the module may be in the middle of it, and ask for more cancels.
   loop_.soon(alive_.guard([this, id] { requests_.forget_if_over(id); }));
 }
@@ -270,7 +271,7 @@
 double RequestForwarder::time_to_tell(const PendingRequest& request, const PendingAttempt& attempt) const {
   // Amid an upload its time counts from the last byte, which is yet to come, or lies unread.
   const bool whole = !request.streams || !request.coming;
-  const double unread = request.downstream ? request.downstream->held_back_for() : 0;
+  const double unread = request.downstream ? request.downstream->reading_paused_for() : 0;
   const double left =
       whole ? std::min(attempt.ends, request.until) - loop_.now() : request.time_left - unread;
   return std::max(left - kUntold, left / 2);
@@ -283,10 +284,11 @@
   const std::string* address = addresses_.find(attempt.endpoint);
   BufferChain out(loop_.pool());
   const double left = time_to_tell(request, attempt);
-  std::optional<Parts> parts;
-  if (request.streams) parts = Parts{request.length};
-  else if (request.message.body.size() > kInOne) parts = Parts{request.message.body.size()};
-  write_request(out, request.message, address ? *address : attempt.endpoint, write_time_left(left), parts);
+  std::optional<BodyFraming> parts;
+  if (request.streams) parts = BodyFraming{request.length};
+  else if (request.message.body.size() > kInOne) parts = BodyFraming{request.message.body.size()};
+  write_request(out, request.message, address ? *address : attempt.endpoint, format_remaining_deadline(left),
+                parts);
   // Last of all: after the clock was read this process may have been held up, and its client left meanwhile.
   if (!request.concluded() && !client_left(id)) return out;
   loop_.soon(alive_.guard([this, id = id, number = number] { not_sent(id, number); }));
@@ -302,7 +304,7 @@
   if (request.streams) {
     request.spent = true;
     BufferChain part = std::exchange(body, BufferChain(loop_.pool()));
-    if (request.downstream) request.downstream->hold_back(false);
+    if (request.downstream) request.downstream->pause_reading(false);
     if (request.length) next = std::move(part);
     else write_chunk(next, part);
     if (!request.coming && !request.length && !std::exchange(attempt.body_sent, 1)) write_last_chunk(next);
@@ -316,7 +318,7 @@
   return next;
 }
 
-void RequestForwarder::on_part(RequestId id, BufferChain bytes, bool whole) {
+void RequestForwarder::on_body_part(RequestId id, BufferChain bytes, bool whole) {
   PendingRequest& request = *requests_.find(id);
   request.message.body.add(bytes);
   request.coming = !whole;
@@ -331,7 +333,7 @@
   }
   // Until it goes out, or where that is slower than it comes in, no more of it is read.
   if (!whole && request.downstream && request.message.body.size() > (sends ? kInOne : kMostUnsent))
-    request.downstream->hold_back(true);
+    request.downstream->pause_reading(true);
 }
 
 // The module was told of a time that no request reaches, as the client's own began only with the last byte.
@@ -356,9 +358,9 @@
   attempt.upstream = nullptr, attempt.reported = true;
   if (attempt.stood_idle) kept_uses_.note(*attempt.stood_idle, false);
   request.relay = &upstream;
-  Load load = read_load(answer.header("X-Backend-Load"));
+  Load load = parse_load(answer.header("X-Backend-Load"));
   loop_.at(request.until, alive_.guard([this, id] { look_at_relay(id); }));
-  request.downstream->begin_answer(answer, size);
+  request.downstream->begin_response(answer, size);
   on_more(upstream, std::move(answer.body));
   policy_->on_attempt_ended(now, {id, number, Outcome::Delivered, true, now - attempt.sent, load});
 }
@@ -375,11 +377,11 @@
 
 void RequestForwarder::on_more(UpstreamConnection& upstream, BufferChain bytes) {
   DownstreamConnection& downstream = *requests_.find(upstream.attempt_id().request)->downstream;
-  downstream.more(std::move(bytes));
-  if (downstream.behind()) upstream.hold_back(true);
+  downstream.send_body_part(std::move(bytes));
+  if (downstream.has_write_backlog()) upstream.hold_back(true);
 }
 
-void RequestForwarder::on_drained(RequestId id) {
+void RequestForwarder::on_response_drained(RequestId id) {
   PendingRequest* request = requests_.find(id);
   if (request && request->relay) request->relay->hold_back(false);
 }
@@ -389,22 +391,22 @@
   figures_.note(number_of(*request.request_class), how);
   request.relay = nullptr;
   DownstreamConnection* downstream = std::exchange(request.downstream, nullptr);
-  downstream->request.reset();
+  downstream->open_request.reset();
   requests_.forget_if_over(id);
   return downstream;
 }
 
 void RequestForwarder::on_finished(UpstreamConnection& upstream, BufferChain bytes) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, Ended::Delivered);
-  downstream->more(std::move(bytes));
-  downstream->end_answer();
+  downstream->send_body_part(std::move(bytes));
+  downstream->end_response();
   keep_or_close(no_longer_busy(upstream));
 }
 
 void RequestForwarder::on_cut(UpstreamConnection& upstream) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, Ended::Failed);
   loop_.bury(no_longer_busy(upstream));
-  downstream->cut_answer();
+  downstream->abort_response();
 }
 
 std::unique_ptr<UpstreamConnection> RequestForwarder::no_longer_busy(const UpstreamConnection& upstream) {
@@ -435,7 +437,7 @@
 }
 
 Outcome RequestForwarder::outcome_of(const HttpMessage& answer) const {
-  return options_.any_status ? outcome_of_any(answer) : puffinvane::outcome_of(answer);
+  return options_.any_status ? outcome_of_any_status(answer) : puffinvane::outcome_of(answer);
 }
 
 void RequestForwarder::on_idle_end(UpstreamConnection& upstream) {
@@ -463,7 +465,7 @@
   request->attempts[std::size_t(number)].reported = true;
   double now = loop_.now();
   if (outcome == Outcome::Delivered) conclude(id, options_.any_status ? answer->status : 200, answer, "", "");
-  Load load = answer ? read_load(answer->header("X-Backend-Load")) : Load();
+  Load load = answer ? parse_load(answer->header("X-Backend-Load")) : Load();
   if (options_.any_status && outcome == Outcome::Failed && answer && answer->status > 0 &&
       !request->concluded())
     request->failed = std::move(*answer);
@@ -474,7 +476,7 @@
 
 // ---- clients
 
-void RequestForwarder::on_client_left(RequestId id) {
+void RequestForwarder::on_client_disconnected(RequestId id) {
   PendingRequest& request = *requests_.find(id);
   request.downstream = nullptr;
   if (UpstreamConnection* relay = std::exchange(request.relay, nullptr)) {
@@ -497,29 +499,29 @@
                             const RequestClass& request_class, double time_left) {
   // It may have lain unread for all of a stall, at the listener or behind another one; its client has counted
   // on meanwhile. An upload's time begins with its last byte.
-  double lain = downstream.uploading() ? 0 : std::max(loop_.stalled(), downstream.lain());
+  double lain = downstream.is_uploading() ? 0 : std::max(loop_.stalled(), downstream.queueing_time());
   time_left = std::max(0.0, time_left - lain);
   double now = loop_.now();
   if (gone_) time_left = std::clamp(*gone_ - now, 0.0, time_left);
   last_request_ = now;
   std::string tenant(message.header("X-Account"));
   std::string said(message.header("X-Facts"));
-  RequestFacts facts = read_facts(said);
+  RequestFacts facts = parse_request_facts(said);
   PendingRequest taken{std::move(message)};
   taken.until = now + time_left, taken.time_left = time_left;
   taken.downstream = &downstream, taken.request_class = &request_class;
-  if (downstream.uploading()) {
-    taken.streams = taken.coming = true, taken.length = downstream.length();
+  if (downstream.is_uploading()) {
+    taken.streams = taken.coming = true, taken.length = downstream.content_length();
     taken.until = now + kUploading, time_left = kUploading;
   }
   RequestId id = requests_.add(std::move(taken));
-  downstream.request = {this, id};
+  downstream.open_request = {this, id};
   policy_->on_request(now, {id, request_class.name, tenant, time_left, facts.key, facts.work});
 }
 
 // ---- endpoints and their list
 
-void RequestForwarder::drop_oldest_idle() {
+void RequestForwarder::close_oldest_idle() {
   if (!rising_.empty()) return drop_rising(std::string(rising_.begin()->first));
   std::unique_ptr<UpstreamConnection> oldest = idle_.take_oldest(std::numeric_limits<double>::infinity());
   if (oldest) oldest->give_up(), loop_.bury(std::move(oldest));
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -31,7 +31,7 @@
 // How a pool's endpoints are talked to.
 struct ForwarderOptions {
   bool any_status = false;  // they are servers like any other: their statuses reach the clients
-  std::size_t most_body = HttpReader::kMostBody;
+  std::size_t most_body = HttpReader::kMaxBodyBytes;
   std::string pool;      // its name in the log; none: there is but one
   bool streams = false;  // longer bodies go on in parts
 };
@@ -100,10 +100,10 @@
   void poll_endpoint_list() override {}  // the watch always stands
   void log(std::string_view text) override;
 
-  void on_client_left(RequestId request) override;
+  void on_client_disconnected(RequestId request) override;
   BufferChain on_ready(UpstreamConnection& upstream) override;
-  void on_part(RequestId request, BufferChain bytes, bool whole) override;
-  void on_drained(RequestId request) override;
+  void on_body_part(RequestId request, BufferChain bytes, bool whole) override;
+  void on_response_drained(RequestId request) override;
   BufferChain on_next(UpstreamConnection& upstream, bool& whole) override;
   void on_begun(UpstreamConnection& upstream, HttpMessage answer, std::optional<std::size_t> size) override;
   void look_at_relay(RequestId id);
@@ -115,8 +115,8 @@
   void on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage answer) override;
   void on_risen(UpstreamConnection& upstream) override;
   void on_idle_end(UpstreamConnection& upstream) override;
-  double oldest_idle() const override { return rising_.empty() ? idle_.oldest() : 0; }
-  void drop_oldest_idle() override;
+  double oldest_idle_since() const override { return rising_.empty() ? idle_.oldest() : 0; }
+  void close_oldest_idle() override;
 
   void pass_on(std::unique_ptr<UpstreamConnection> idle, double since);
   std::unique_ptr<UpstreamConnection> take_kept(UpstreamConnection::AttemptId attempt,
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -62,7 +62,8 @@
       owner_(&owner),
       endpoint_(std::move(endpoint)),
       tcp_(loop, *this),
-      reader_(HttpReader::Side::Answer, loop.pool(), most_body, streams ? HttpReader::kMostStreamed : 0) {}
+      reader_(HttpReader::Side::Response, loop.pool(), most_body,
+              streams ? HttpReader::kMaxStreamedBodyBytes : 0) {}
 
 void UpstreamConnection::turn(Input input) { apply_transition(kRows, *this, state_, input); }
 
@@ -120,9 +121,10 @@
 }
 
 bool UpstreamConnection::too_long_to_hold() const {
-  if (!reader_.streams() || !reader_.in_body()) return false;
-  if (reader_.declared()) return *reader_.declared() > HttpReader::kMostBody;
-  return reader_.body_so_far() > HttpReader::kMostBody || loop_.now() - answered_since_ > kLongInComing;
+  if (!reader_.is_streaming() || !reader_.in_body()) return false;
+  if (reader_.content_length()) return *reader_.content_length() > HttpReader::kMaxBodyBytes;
+  return reader_.body_bytes_received() > HttpReader::kMaxBodyBytes ||
+         loop_.now() - answered_since_ > kLongInComing;
 }
 
 void UpstreamConnection::on_received(std::string_view bytes) {
@@ -132,10 +134,10 @@
   if (first) answered_since_ = heard_;
   std::size_t used = reader_.feed(bytes);
   if (reader_.fault() != HttpReader::Fault::None) return turn(Input::Nonsense);
-  if (!reader_.whole()) {
+  if (!reader_.is_complete()) {
     if (first) watch_answer(sent_);  // most come whole at once, and need no watching
     if (state_ == State::Relaying) {
-      if (BufferChain part = reader_.take_part(); !part.empty()) owner_->on_more(*this, std::move(part));
+      if (BufferChain part = reader_.take_body_part(); !part.empty()) owner_->on_more(*this, std::move(part));
     } else if (too_long_to_hold()) {
       // Before the request is written whole that is no answer to it. What it says then is not worth holding.
       if (state_ == State::Sending) return turn(Input::Nonsense);
@@ -163,9 +165,9 @@
 
 void UpstreamConnection::on_ended(TcpConnection::End end) {
   // An answer that says no length ends with its connection; a reset is no end, and what has come is a part.
-  if (end == TcpConnection::End::Closed) reader_.end();
+  if (end == TcpConnection::End::Closed) reader_.end_of_input();
   if (end == TcpConnection::End::LocalWant) return turn(Input::LocalWant);
-  turn(reader_.whole() ? Input::AnsweredLast : Input::Ended);
+  turn(reader_.is_complete() ? Input::AnsweredLast : Input::Ended);
 }
 
 void UpstreamConnection::report_answer() {
@@ -175,13 +177,13 @@
   owner_->on_attempt_ended(*this, outcome, reader_.take());
 }
 void UpstreamConnection::report_begun() {
-  std::optional<std::size_t> size = reader_.declared();
-  owner_->on_begun(*this, reader_.take_begun(), size);
+  std::optional<std::size_t> size = reader_.content_length();
+  owner_->on_begun(*this, reader_.take_head(), size);
 }
 void UpstreamConnection::report_finished() {
   if (state_ == State::Over) tcp_.close();
   idle_since_ = loop_.now();
-  BufferChain rest = reader_.take_part();
+  BufferChain rest = reader_.take_body_part();
   reader_.take();
   owner_->on_finished(*this, std::move(rest));
 }
@@ -190,14 +192,14 @@
   owner_->on_cut(*this);
 }
 void UpstreamConnection::report_nonsense() { report(Outcome::Failed); }
-void UpstreamConnection::report_unsent() { report(outcome_of_break(false)); }
+void UpstreamConnection::report_unsent() { report(outcome_of_disconnect(false)); }
 void UpstreamConnection::report_reset() {
   // Sooner than a connection may take to come up, on one that was kept: it was dropped while it stood idle.
   bool dropped = kept_ && !answering_ && loop_.now() - sent_ < timeout_;
-  report(dropped ? Outcome::Stale : outcome_of_break(true));
+  report(dropped ? Outcome::Stale : outcome_of_disconnect(true));
 }
 void UpstreamConnection::report_not_up() {
-  owner_->on_attempt_ended(*this, outcome_of_break(false), HttpMessage(loop_.pool()));
+  owner_->on_attempt_ended(*this, outcome_of_disconnect(false), HttpMessage(loop_.pool()));
 }
 void UpstreamConnection::report_risen() {
   idle_since_ = loop_.now();
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -50,11 +50,13 @@
   void pass_to(Owner& owner) { owner_ = &owner; }  // only while idle
   void stop() { turn(Input::Stopped); }            // its answer has stopped amid its bytes
   double silent() const { return tcp_.reads() ? loop_.now() - heard_ : 0; }
-  bool is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }  // its answer, so far
+  bool is_long() const {
+    return reader_.body_bytes_received() > HttpReader::kMaxBodyBytes;
+  }  // its answer, so far
   // Its answer has gone on for a while, and by less than that many bytes a second.
   bool crawls(double least) const {
     double since = loop_.now() - answered_since_;
-    return since > kWhile && double(reader_.body_so_far()) < least * since;
+    return since > kWhile && double(reader_.body_bytes_received()) < least * since;
   }
   bool idle() const { return state_ == State::Idle; }
   bool connecting() const { return state_ == State::Connecting; }
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -45,7 +45,7 @@
       "POST /checkout/a?b=c HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: 9b1f\r\nx-account:  acme \r\n"
       "Content-Length: 5\r\n\r\nhello";
   at_every_cut(Side::Request, request + "GET /", [&](HttpReader& reader, std::size_t used) {
-    assert(reader.whole() && used == request.size());
+    assert(reader.is_complete() && used == request.size());
     HttpMessage message = reader.take();
     assert(message.method == "POST" && message.target == "/checkout/a?b=c" && message.keep_alive);
     assert(message.header("X-Account") == "acme" && message.header("x-correlation-id") == "9b1f");
@@ -58,8 +58,8 @@
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: "
       "close\r\n\r\n"
       "4;x=y\r\nabcd\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n";
-  at_every_cut(Side::Answer, answer, [&](HttpReader& reader, std::size_t used) {
-    assert(reader.whole() && used == answer.size());
+  at_every_cut(Side::Response, answer, [&](HttpReader& reader, std::size_t used) {
+    assert(reader.is_complete() && used == answer.size());
     HttpMessage message = reader.take();
     assert(message.status == 200 && message.body.text() == "abcd0123456789" && !message.keep_alive);
     assert(message.header("Trailer").empty());
@@ -68,18 +68,18 @@
 
 void an_answer_without_a_length_ends_with_its_connection_and_one_with_a_length_does_not() {
   BufferPool pool;
-  HttpReader open(Side::Answer, pool);
+  HttpReader open(Side::Response, pool);
   open.feed("HTTP/1.1 200 OK\r\n\r\npart");
-  assert(!open.whole());
-  open.end();
-  assert(open.whole() && open.message().body.text() == "part" && !open.message().keep_alive);
-  HttpReader cut(Side::Answer, pool);
+  assert(!open.is_complete());
+  open.end_of_input();
+  assert(open.is_complete() && open.message().body.text() == "part" && !open.message().keep_alive);
+  HttpReader cut(Side::Response, pool);
   cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
-  cut.end();
-  assert(!cut.whole());
-  HttpReader none(Side::Answer, pool);
+  cut.end_of_input();
+  assert(!cut.is_complete());
+  HttpReader none(Side::Response, pool);
   none.feed("HTTP/1.1 204 No Content\r\n\r\n");
-  assert(none.whole());
+  assert(none.is_complete());
 }
 
 void what_can_be_read_in_two_ways_is_refused() {
@@ -97,12 +97,12 @@
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"}) {
     at_every_cut(Side::Request, bad, [&](HttpReader& reader, std::size_t) {
-      assert(reader.fault() == Fault::Malformed && !reader.whole());
+      assert(reader.fault() == Fault::Malformed && !reader.is_complete());
     });
   }
   for (const char* bad : {"HTTP/1.1 20 OK\r\n", "HTTP/1.1 2000 OK\r\n", "ICY 200 OK\r\n", "HTTP/1.1 abc\r\n",
                           "HTTP/1.1 200 OHTTP/1.1 500 Oops\r\n"}) {
-    at_every_cut(Side::Answer, bad,
+    at_every_cut(Side::Response, bad,
                  [](HttpReader& reader, std::size_t) { assert(reader.fault() == Fault::Malformed); });
   }
 }
@@ -126,12 +126,12 @@
   assert(chunks.fault() == Fault::BodyTooLarge && pool.lent() <= 5);
   HttpReader most(Side::Request, pool);
   most.feed("POST /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + std::string(65536, 'x'));
-  assert(most.whole());
+  assert(most.is_complete());
 }
 
 void interim_answers_without_end_are_a_head_without_end() {
   BufferPool pool;
-  HttpReader reader(Side::Answer, pool);
+  HttpReader reader(Side::Response, pool);
   for (int i = 0; i < 20 && reader.fault() == Fault::None; ++i) reader.feed("HTTP/1.1 103 Early\r\n\r\n");
   assert(reader.fault() == Fault::None);
   for (int i = 0; i < 2000 && reader.fault() == Fault::None; ++i) reader.feed("HTTP/1.1 103 Early\r\n\r\n");
@@ -153,9 +153,9 @@
 
 void many_small_chunks_are_no_large_head() {
   BufferPool pool;
-  HttpReader reader(Side::Answer, pool);
+  HttpReader reader(Side::Response, pool);
   reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  for (int i = 0; i < 20000; ++i) reader.feed("1\r\nx\r\n"), reader.take_body();
+  for (int i = 0; i < 20000; ++i) reader.feed("1\r\nx\r\n"), reader.take_body_text();
   assert(reader.fault() == Fault::None && reader.in_body());
 }
 
@@ -167,7 +167,7 @@
       "k\r\nX-Time-Left: 9m\r\n"
       "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n");
   BufferChain out(pool);
-  write_request(out, reader.message(), "10.0.0.1:80", write_time_left(0.25));
+  write_request(out, reader.message(), "10.0.0.1:80", format_remaining_deadline(0.25));
   assert(out.text() ==
          "POST /a/b?c HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: 77\r\nIdempotency-Key: k\r\n"
          "X-Time-Left: 250000u\r\nContent-Length: 2\r\n\r\nhi");
@@ -176,40 +176,42 @@
 void an_answer_goes_on_whole_and_unchanged() {
   BufferPool pool;
   std::string body(40000, 'z');
-  HttpReader reader(Side::Answer, pool);
+  HttpReader reader(Side::Response, pool);
   reader.feed(
       "HTTP/1.1 200 OK\r\nContent-Type: t\r\nX-Backend-Load: inflight=1\r\nContent-Length: 40000\r\n\r\n" +
       body);
   BufferChain out(pool);
-  write_answer(out, 200, &reader.message(), "", "", true);
-  HttpReader again(Side::Answer, pool);
+  write_response(out, 200, &reader.message(), "", "", true);
+  HttpReader again(Side::Response, pool);
   again.feed(out.text());
-  assert(again.whole() && again.message().body.text() == body && !again.message().keep_alive);
+  assert(again.is_complete() && again.message().body.text() == body && !again.message().keep_alive);
   assert(again.message().header("Content-Type") == "t" && again.message().header("X-Backend-Load").empty());
 }
 
 void header_values_are_read_with_their_units_or_not_at_all() {
-  assert(read_time_left("480m") == 0.48 && read_time_left("1500u") == 0.0015 && read_time_left("0m") == 0.0);
+  assert(parse_remaining_deadline("480m") == 0.48 && parse_remaining_deadline("1500u") == 0.0015 &&
+         parse_remaining_deadline("0m") == 0.0);
   for (const char* bad : {"", "m", "480", "-1m", "1s", "nanm", "infu", "4 m", "1e999m", "1e2m", "0x9m"})
-    assert(!read_time_left(bad));
-  assert(read_time_left("99999999999m") == 3600.0);
+    assert(!parse_remaining_deadline(bad));
+  assert(parse_remaining_deadline("99999999999m") == 3600.0);
   assert(request_class_of("/status/a") == "status" && request_class_of("/status?x") == "status");
   assert(request_class_of("/").empty() && request_class_of("").empty());
-  assert(write_wait(0.25) == "0.250" && write_time_left(-1) == "0u");
-  assert(read_load("inflight=7,queue=2,util=0.61").depth == 7 && read_load("util=1,queue=2").depth == 2);
-  Load load = read_load("qps=41.5,util=0.8,inflight=3");
+  assert(format_retry_after(0.25) == "0.250" && format_remaining_deadline(-1) == "0u");
+  assert(parse_load("inflight=7,queue=2,util=0.61").depth == 7 && parse_load("util=1,queue=2").depth == 2);
+  Load load = parse_load("qps=41.5,util=0.8,inflight=3");
   assert(load.requests_per_s == 41.5 && load.cpu_utilization == 0.8 && load.depth == 3 &&
-         read_load("util=7").cpu_utilization == 1);
-  assert(read_load("qps=-1,util=nan").requests_per_s < 0 && read_load("qps=-1,util=nan").cpu_utilization < 0);
-  RequestFacts facts = read_facts("size=3,key=track-7,hint=0.12");
-  assert(facts.key == "track-7" && facts.work == 0.12 && read_facts("hint=-2,=,key").work == 0);
-  assert(read_load("queue=2,inflight=7").depth == 7 && read_load("nonsense,=,queue=x").depth < 0);
+         parse_load("util=7").cpu_utilization == 1);
+  assert(parse_load("qps=-1,util=nan").requests_per_s < 0 &&
+         parse_load("qps=-1,util=nan").cpu_utilization < 0);
+  RequestFacts facts = parse_request_facts("size=3,key=track-7,hint=0.12");
+  assert(facts.key == "track-7" && facts.work == 0.12 && parse_request_facts("hint=-2,=,key").work == 0);
+  assert(parse_load("queue=2,inflight=7").depth == 7 && parse_load("nonsense,=,queue=x").depth < 0);
 }
 
 void an_answer_means_what_the_protocol_says() {
   auto outcome = [](const char* bytes) {
     BufferPool pool;
-    HttpReader reader(Side::Answer, pool);
+    HttpReader reader(Side::Response, pool);
     reader.feed(bytes);
     return outcome_of(reader.message());
   };
@@ -219,7 +221,8 @@
   assert(outcome("HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n") == Outcome::Refused);
   assert(outcome("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") == Outcome::Failed);
   assert(outcome("HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n") == Outcome::Failed);
-  assert(outcome_of_break(false) == Outcome::ConnectFailed && outcome_of_break(true) == Outcome::Broken);
+  assert(outcome_of_disconnect(false) == Outcome::ConnectFailed &&
+         outcome_of_disconnect(true) == Outcome::Broken);
 }
 
 void a_list_is_read_with_its_starts_as_they_are_stated() {
@@ -466,11 +469,11 @@
 
 void a_watch_that_goes_on_for_ever_is_no_body_too_large() {
   BufferPool pool;
-  HttpReader reader(HttpReader::Side::Answer, pool, 1000);
+  HttpReader reader(HttpReader::Side::Response, pool, 1000);
   reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (int i = 0; i < 50; ++i) {
     reader.feed("64\r\n" + std::string(100, 'x') + "\r\n");
-    assert(reader.fault() == HttpReader::Fault::None && reader.take_body().size() == 100);
+    assert(reader.fault() == HttpReader::Fault::None && reader.take_body_text().size() == 100);
   }
 }
 
@@ -502,13 +505,13 @@
       }
       if (text.empty()) text = " ";
     }
-    HttpReader reader(kind < 2 ? Side::Request : Side::Answer, pool);
+    HttpReader reader(kind < 2 ? Side::Request : Side::Response, pool);
     ListSplitter lines;
     for (std::size_t at = 0; at < text.size();) {
       std::string_view part = std::string_view(text).substr(at, 1 + chance(20));
       at += part.size();
       std::size_t used = reader.feed(part);
-      assert(used <= part.size() && !(reader.whole() && reader.fault() != Fault::None));
+      assert(used <= part.size() && !(reader.is_complete() && reader.fault() != Fault::None));
       lines.append(part);
       while (std::optional<std::string> line = lines.take_line()) {
         assert(line->size() <= text.size());
@@ -516,7 +519,7 @@
         if (result) lists += !result.value().entries.empty();
       }
     }
-    whole += reader.whole(), refused += reader.fault() != Fault::None;
+    whole += reader.is_complete(), refused += reader.fault() != Fault::None;
   }
   assert(whole > 2000 && refused > 2000 && lists > 500 && pool.lent() == 0);
 }
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -28,11 +28,11 @@
   return host;
 }
 
-bool holds(const Condition& condition, std::span<const Field> fields) {
+bool holds(const Condition& condition, std::span<const HeaderField> fields) {
   using Test = Condition::Test;
-  const Field* found = nullptr;
+  const HeaderField* found = nullptr;
   bool equal = false, starts = false;
-  for (const Field& field : fields) {
+  for (const HeaderField& field : fields) {
     if (!same_name(field.name, condition.header)) continue;
     found = &field;
     equal = equal || field.value == condition.value;
@@ -114,7 +114,7 @@
 
 }  // namespace
 
-bool climbs(std::string_view path) {
+bool has_dot_segments(std::string_view path) {
   path = path_of(path);
   // `.`, `..` and either with its dots written as %2e.
   for (std::size_t from = 0; from < path.size();) {
@@ -310,7 +310,7 @@
 
 Decision Router::decide(const RequestHead& request, double draw) const {
   Decision decision;
-  if (climbs(request.target)) {
+  if (has_dot_segments(request.target)) {
     decision.kind = Decision::Kind::BadTarget;
     return decision;
   }
@@ -318,7 +318,7 @@
   if (decision.route < 0) return decision;
   const Route& route = site_->routes[std::size_t(decision.route)];
   if (route.answer.status) {
-    decision.kind = Decision::Kind::Answer;
+    decision.kind = Decision::Kind::FixedResponse;
     return decision;
   }
   decision.kind = Decision::Kind::Forward;
@@ -328,36 +328,36 @@
   return decision;
 }
 
-std::vector<Verdict> explain(const site::Site& site, const RequestHead& request) {
+std::vector<RouteExplanation> explain(const site::Site& site, const RequestHead& request) {
   std::string_view host = bare_host(request.host), path = path_of(request.target);
   auto rank = [&](const Route& route) {
     return std::array<int, 4>{host_rank(route, host), path_rank(route, path), route.methods.empty() ? 0 : 1,
                               int(route.conditions.size())};
   };
-  std::vector<Verdict> all;
+  std::vector<RouteExplanation> all;
   int best = -1;
   std::array<int, 4> best_rank{};
   for (std::size_t i = 0; i < site.routes.size(); ++i) {
     const Route& route = site.routes[i];
     auto its = rank(route);
-    Verdict verdict{int(i), "", false};
+    RouteExplanation verdict{int(i), "", false};
     if (!route.listeners.empty() && !listed(route.listeners, request.listener))
-      verdict.lost = "is not open to listener " + std::string(request.listener);
-    else if (its[0] < 0) verdict.lost = "is for another host";
-    else if (its[1] < 0) verdict.lost = "is for another path";
+      verdict.why_not = "is not open to listener " + std::string(request.listener);
+    else if (its[0] < 0) verdict.why_not = "is for another host";
+    else if (its[1] < 0) verdict.why_not = "is for another path";
     else if (!route.methods.empty() && !listed(route.methods, request.method))
-      verdict.lost = "is for other methods";
+      verdict.why_not = "is for other methods";
     else {
       verdict.matches = true;
       for (const Condition& one : route.conditions) {
         if (verdict.matches && !holds(one, request.fields))
-          verdict.matches = false, verdict.lost = "its condition on " + one.header + " does not hold";
+          verdict.matches = false, verdict.why_not = "its condition on " + one.header + " does not hold";
       }
     }
     if (verdict.matches && (best < 0 || its > best_rank)) best = int(i), best_rank = its;
     all.push_back(std::move(verdict));
   }
-  for (Verdict& verdict : all) {
+  for (RouteExplanation& verdict : all) {
     if (!verdict.matches || verdict.route == best) continue;
     constexpr std::array<const char*, 4> kWhy{"names the host more closely", "names the path more closely",
                                               "names the method", "has more conditions on headers"};
@@ -365,8 +365,9 @@
     std::size_t differ = 0;
     while (differ < its.size() && its[differ] == best_rank[differ]) ++differ;
     const std::string& winner = site.routes[std::size_t(best)].name;
-    verdict.lost = "matches, but route " + winner +
-                   (differ < its.size() ? std::string(" ") + kWhy[differ] : std::string(" stands before it"));
+    verdict.why_not =
+        "matches, but route " + winner +
+        (differ < its.size() ? std::string(" ") + kWhy[differ] : std::string(" stands before it"));
   }
   return all;
 }
--- a/src/routing/routing.h
+++ b/src/routing/routing.h
@@ -21,24 +21,24 @@
 
 namespace puffinvane::routing {
 
-struct Field {
+struct HeaderField {
   std::string_view name, value;
 };
 
 struct RequestHead {
   std::string_view listener, method, host, target;  // host: with its port or without; target: path and query
-  std::span<const Field> fields;
+  std::span<const HeaderField> fields;
 };
 
 struct Decision {
-  enum class Kind { Forward, Answer, NoRoute, BadTarget };
+  enum class Kind { Forward, FixedResponse, NoRoute, BadTarget };
   Kind kind = Kind::NoRoute;
   int route = -1, pool = -1, request_class = -1;  // by their places in the site
   std::optional<std::string> target;              // rewritten
 };
 
 // A path that climbs (`..`, however it is written) would be routed by one name and read as another.
-bool climbs(std::string_view path);
+bool has_dot_segments(std::string_view path);
 
 class Router {
  public:
@@ -60,11 +60,11 @@
 };
 
 // For people: every route against one request, one after another.
-struct Verdict {
+struct RouteExplanation {
   int route = -1;
-  std::string lost;  // why it doesn't match or who goes before it; empty: it wins
+  std::string why_not;  // why it doesn't match or who goes before it; empty: it wins
   bool matches = false;
 };
-std::vector<Verdict> explain(const site::Site& site, const RequestHead& request);
+std::vector<RouteExplanation> explain(const site::Site& site, const RequestHead& request);
 
 }  // namespace puffinvane::routing
--- a/src/routing/routing_cost.cpp
+++ b/src/routing/routing_cost.cpp
@@ -53,7 +53,7 @@
   std::size_t at = 0;
   for (auto _ : state) {
     at = (at + 1) % targets.size();
-    Field fields[] = {{"Accept", "*/*"}, {"X-Tenant", tenants[at]}};
+    HeaderField fields[] = {{"Accept", "*/*"}, {"X-Tenant", tenants[at]}};
     int found = router.find({"main", "GET", hosts[at], targets[at], fields});
     if (found < 0) state.SkipWithError("no route");
     benchmark::DoNotOptimize(found);
--- a/src/routing/routing_test.cpp
+++ b/src/routing/routing_test.cpp
@@ -55,7 +55,7 @@
     return {};
   for (const Condition& one : route.conditions) {
     bool present = false, is = false, starts = false;
-    for (const Field& field : request.fields) {
+    for (const HeaderField& field : request.fields) {
       if (strcasecmp(std::string(field.name).c_str(), one.header.c_str()) != 0) continue;
       present = true, is = is || field.value == one.value;
       starts = starts || std::string(field.value).rfind(one.value, 0) == 0;
@@ -124,7 +124,7 @@
 struct Asked {
   std::string listener, method, host, target;
   std::vector<std::pair<std::string, std::string>> headers;
-  std::vector<Field> fields = {};
+  std::vector<HeaderField> fields = {};
   RequestHead request() {
     fields.clear();
     for (const auto& [name, value] : headers) fields.push_back({name, value});
@@ -173,8 +173,8 @@
     Asked asked = asked_of(chance);
     RequestHead request = asked.request();
     int winner = -1;
-    for (const Verdict& verdict : explain(site, request)) {
-      if (verdict.lost.empty()) {
+    for (const RouteExplanation& verdict : explain(site, request)) {
+      if (verdict.why_not.empty()) {
         RC_ASSERT(winner == -1);
         winner = verdict.route;
       }
@@ -233,9 +233,9 @@
 
 void a_path_that_climbs_is_not_routed() {
   for (const char* path : {"/a/../b", "/..", "/a/.", "/./a", "/%2e%2E/a", "/a/.%2e", "/a/..?x"})
-    assert(climbs(path));
+    assert(has_dot_segments(path));
   for (const char* path : {"/a/...", "/a..b", "/.a", "/a?../b", "/%2e%2e%2e", "/", "/a/%2ex"})
-    assert(!climbs(path));
+    assert(!has_dot_segments(path));
   Site site = small();
   site.routes = {route("a", Route::Path::Any, "")};
   Router router(std::make_shared<const Site>(site));
@@ -258,7 +258,7 @@
   site.routes = {route("a", Route::Path::Prefix, "/x"), route("b", Route::Path::Prefix, "/x")};
   site.routes[0].conditions = {{"A", Condition::Test::Present, ""}};
   site.routes[1].conditions = {{"B", Condition::Test::Present, ""}};
-  Field both[] = {{"a", "1"}, {"b", "1"}}, second[] = {{"B", "1"}};
+  HeaderField both[] = {{"a", "1"}, {"b", "1"}}, second[] = {{"B", "1"}};
   Router router(std::make_shared<const Site>(site));
   assert(router.find({"main", "GET", "", "/x", both}) == 0 &&
          router.find({"main", "GET", "", "/x", second}) == 1);
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -63,7 +63,7 @@
       killed_after_(killed_after),
       limiter_(loop, router_.site().limits.memory / kBufferShare),
       downstream_(loop, limiter_, *this, router_.site().limits.body) {
-  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
+  downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
 }
 
 void Server::start() {
@@ -115,7 +115,7 @@
     set_pools(next.site());
     if (!gone_) close_listeners(next.site());  // once it leaves, all of them are closed or about to be
     router_ = std::move(next);
-    downstream_.longest_wait(drain_limits().longest_client_timeout_s);
+    downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
     loop()
         .log()
         .event(Level::Info, "site.reloaded")
@@ -327,8 +327,9 @@
 
 void Server::on_request(DownstreamConnection& downstream, HttpMessage request) {
   if (request.method == "CONNECT")
-    return downstream.answer(405, nullptr, "", "CONNECT is not served\n", true);
-  if (request.count("Host") > 1) return downstream.answer(400, nullptr, "", "one Host, not two\n", true);
+    return downstream.respond(405, nullptr, "", "CONNECT is not served\n", true);
+  if (request.header_count("Host") > 1)
+    return downstream.respond(400, nullptr, "", "one Host, not two\n", true);
   fields_.clear();
   for (const Header& header : request.headers) fields_.push_back({header.name, header.value});
   routing::RequestHead asked{listener_of(downstream.listener()), request.method, request.header("Host"),
@@ -337,16 +338,16 @@
   using Kind = routing::Decision::Kind;
   switch (decision.kind) {
     case Kind::BadTarget:
-      return downstream.answer(400, nullptr, "", "a path with . or .. is not served\n", true);
+      return downstream.respond(400, nullptr, "", "a path with . or .. is not served\n", true);
     case Kind::NoRoute:
       if (request.target == "/healthz" && request.method == "GET")
-        return downstream.answer(gone_ ? 503 : 200, nullptr, "", gone_ ? "leaving\n" : "ready\n", false);
-      return downstream.answer(404, nullptr, "", "no route leads there\n", false);
-    case Kind::Answer: {
+        return downstream.respond(gone_ ? 503 : 200, nullptr, "", gone_ ? "leaving\n" : "ready\n", false);
+      return downstream.respond(404, nullptr, "", "no route leads there\n", false);
+    case Kind::FixedResponse: {
       const site::Answer& answer = router_.site().routes[std::size_t(decision.route)].answer;
       std::string headers = answer.location.empty() ? "" : "Location: " + answer.location + "\r\n";
-      return downstream.answer(answer.status, nullptr, headers, answer.text.empty() ? "" : answer.text + "\n",
-                               false);
+      return downstream.respond(answer.status, nullptr, headers,
+                                answer.text.empty() ? "" : answer.text + "\n", false);
     }
     case Kind::Forward: return take(downstream, std::move(request), decision);
   }
@@ -356,14 +357,14 @@
   RequestForwarder& forwarder = *by_place_[std::size_t(decision.pool)]->forwarder;
   const RequestClass& request_class =
       *forwarder.find_class(router_.site().request_classes[std::size_t(decision.request_class)].name);
-  int ids = request.count(kRequestIdHeader);
+  int ids = request.header_count(kRequestIdHeader);
   // Clients that know nothing of ids get one: endpoints tell requests apart by it.
   if (ids == 0) request.headers.push_back({std::string(kRequestIdHeader), new_request_id()});
   std::string_view id = request.header(kRequestIdHeader);
   if (id.empty() || ids > 1 || forwarder.open(id))
-    return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be new, if it is there\n", true);
-  std::optional<double> time_left = time_left_of(request, request_class.client_timeout_s);
-  if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
+    return downstream.respond(400, nullptr, "", "X-Correlation-Id has to be new, if it is there\n", true);
+  std::optional<double> time_left = remaining_deadline_of(request, request_class.client_timeout_s);
+  if (!time_left) return downstream.respond(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
   if (decision.target) request.target = *decision.target;
   forwarder.take(downstream, std::move(request), request_class, *time_left);
 }
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -17,7 +17,7 @@
 
 namespace puffinvane::serving {
 
-class Server final : public Lifecycle, DownstreamConnections::Server {
+class Server final : public Lifecycle, DownstreamConnections::RequestHandler {
  public:
   // Reads the site anew; nothing if it can't be used, with `why` in a few words.
   using Read = std::function<std::optional<site::Site>(std::string& why)>;
@@ -50,7 +50,7 @@
   DrainLimits drain_limits() const override;
   void on_draining(double deadline_s) override;
   void stop_listening() override;
-  void end_connections_after_response() override { downstream_.last_call(true); }
+  void end_connections_after_response() override { downstream_.close_after_responses(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
     return downstream_.empty() &&
@@ -85,7 +85,7 @@
   std::map<std::string, std::unique_ptr<Running>> pools_, before_;  // before_: only while a version changes
   std::vector<Running*> by_place_;                                  // as the router numbers them
   std::vector<std::unique_ptr<Running>> retired_;
-  std::vector<routing::Field> fields_;
+  std::vector<routing::HeaderField> fields_;
   Alive alive_;
 };
 
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -38,8 +38,8 @@
       limiter_(loop, assignment_.memory / kBufferShare),
       forwarder_(loop, limiter_, assignment_.deployment, assignment_.seed,
                  watching(assignment_.shadow, differences_, make),
-                 ForwarderOptions{false, HttpReader::kMostBody, "", true}),
-      downstream_(loop, limiter_, *this, HttpReader::kMostBody, 0, HttpReader::kMostStreamed),
+                 ForwarderOptions{false, HttpReader::kMaxBodyBytes, "", true}),
+      downstream_(loop, limiter_, *this, HttpReader::kMaxBodyBytes, 0, HttpReader::kMaxStreamedBodyBytes),
       listener_(loop, downstream_),
       watch_(loop, forwarder_, starts_,
              DiscoveryWatch::Options{.address = assignment_.discovery,
@@ -48,13 +48,13 @@
                                      .backoff_seed = assignment_.seed}),
       operations_(*this),
       takeover_(std::move(takeover)) {
-  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
+  downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
   if (assignment_.fleet)
     fleet_.emplace(loop, *assignment_.fleet, Loop::unix_offset(), assignment_.seed,
                    static_cast<fleet::Fleet::Owner&>(*this));
   if (assignment_.admin.empty()) return;
   has_predecessor_ = takeover_.predecessor != nullptr;
-  if (has_predecessor_) limiter_.share(true);
+  if (has_predecessor_) limiter_.share_limits(true);
   hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_path(assignment_.listen),
                        std::move(takeover_.predecessor));
   admin_.emplace(loop, limiter_, operations_, static_cast<AdminApi::Owner&>(*this));
@@ -178,7 +178,7 @@
 
 void Sidecar::hand_over_connections() {
   // It died before it had all: the front finds the others, and who is connected hears that this was the last.
-  if (!has_successor()) return downstream_.last_call(true), downstream_.close_idle();
+  if (!has_successor()) return downstream_.close_after_responses(true), downstream_.close_idle();
   downstream_.hand_over([this](GSocket* connection, bool asked) {
     const ConnectionHistory history = asked ? ConnectionHistory::Used : ConnectionHistory::Unused;
     return hot_restart_->try_send_connection(connection, history);
@@ -219,21 +219,21 @@
 void Sidecar::on_request(DownstreamConnection& downstream, HttpMessage request) {
   if (request.target == "/healthz" && request.method == "GET") {
     bool takes = (!leaving_ || has_successor()) && !operations_.drains() && informed();
-    return downstream.answer(takes ? 200 : 503, nullptr, "", takes ? "ready\n" : "leaving\n", false);
+    return downstream.respond(takes ? 200 : 503, nullptr, "", takes ? "ready\n" : "leaving\n", false);
   }
   if (request.target == "/watch" && request.method == "GET" && assignment_.shadow)
-    return downstream.answer(200, nullptr, "", write_differences(differences_), false);
+    return downstream.respond(200, nullptr, "", write_differences(differences_), false);
   if (request.method == "HEAD" || request.method == "CONNECT")
-    return downstream.answer(405, nullptr, "Allow: GET, POST\r\n", "", true);
+    return downstream.respond(405, nullptr, "Allow: GET, POST\r\n", "", true);
   const RequestClass* request_class = forwarder_.find_class(request_class_of(request.target));
-  if (!request_class) return downstream.answer(404, nullptr, "", "no such path prefix\n", true);
+  if (!request_class) return downstream.respond(404, nullptr, "", "no such path prefix\n", true);
   std::string_view id = request.header(kRequestIdHeader);
-  std::optional<double> time_left = time_left_of(request, request_class->client_timeout_s);
-  bool named = !id.empty() && request.count(kRequestIdHeader) == 1 && !forwarder_.open(id);
+  std::optional<double> time_left = remaining_deadline_of(request, request_class->client_timeout_s);
+  bool named = !id.empty() && request.header_count(kRequestIdHeader) == 1 && !forwarder_.open(id);
   if (!named || !time_left) forwarder_.turned_away(*request_class);
   if (!named)
-    return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be there, once and new\n", true);
-  if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
+    return downstream.respond(400, nullptr, "", "X-Correlation-Id has to be there, once and new\n", true);
+  if (!time_left) return downstream.respond(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
   forwarder_.take(downstream, std::move(request), *request_class, *time_left);
 }
 
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -16,7 +16,7 @@
 namespace puffinvane {
 
 class Sidecar final : public Lifecycle,
-                      DownstreamConnections::Server,
+                      DownstreamConnections::RequestHandler,
                       Operations::Host,
                       AdminApi::Owner,
                       HotRestart::Owner,
@@ -37,7 +37,7 @@
   void stop_listening() override { has_successor() ? listener_.let_go() : listener_.close(); }
   bool has_successor() const override { return hot_restart_ && hot_restart_->has_successor(); }
   void hand_over_connections() override;
-  void end_connections_after_response() override { downstream_.last_call(true); }
+  void end_connections_after_response() override { downstream_.close_after_responses(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
     return downstream_.empty() && listener_.shut() &&
@@ -49,7 +49,7 @@
   bool knows(std::string_view endpoint) const override { return forwarder_.knows(endpoint); }
   void stop(std::string_view endpoint) override;
   void use_again(std::string_view endpoint, double out_since) override;
-  void last_answers(bool on) override { downstream_.last_call(on); }
+  void last_answers(bool on) override { downstream_.close_after_responses(on); }
   bool ready() const override { return serving_; }
   std::string telemetry() const override;
   void on_override() override;
@@ -67,7 +67,9 @@
   void on_connection(Ref<GSocket> socket, ConnectionHistory history) override {
     downstream_.take_over(std::move(socket), history == ConnectionHistory::Used);
   }
-  void on_peer_presence(PeerPresence presence) override { limiter_.share(presence == PeerPresence::Present); }
+  void on_peer_presence(PeerPresence presence) override {
+    limiter_.share_limits(presence == PeerPresence::Present);
+  }
   void look_at_drain();
   bool informed() const;
 
--- a/testing/peers.h
+++ b/testing/peers.h
@@ -97,23 +97,23 @@
     say(text), shut();
   }
   // The next whole message, if one comes.
-  std::optional<HttpMessage> hear(HttpReader::Side side, std::size_t most_body = HttpReader::kMostBody) {
+  std::optional<HttpMessage> hear(HttpReader::Side side, std::size_t most_body = HttpReader::kMaxBodyBytes) {
     HttpReader reader(side, pool(), most_body);
     while (true) {
       held_.erase(0, reader.feed(held_));
-      if (reader.whole()) return reader.take();
+      if (reader.is_complete()) return reader.take();
       char bytes[65536];
       ssize_t count = recv(descriptor_, bytes, sizeof bytes, 0);
       if (count < 0 && errno == EINTR) continue;  // a child was stopped or goes on
       if (count < 0) return {};
-      if (count == 0) reader.end();
-      if (reader.whole()) return reader.take();
+      if (count == 0) reader.end_of_input();
+      if (reader.is_complete()) return reader.take();
       if (count == 0) return {};
       held_.append(bytes, std::size_t(count));
     }
   }
   int answer_status() {
-    auto answer = hear(HttpReader::Side::Answer);
+    auto answer = hear(HttpReader::Side::Response);
     return answer ? answer->status : 0;
   }
   // All that comes until it has that word in it, or ends.
--- a/testing/running.h
+++ b/testing/running.h
@@ -88,7 +88,7 @@
   std::string shadow() {
     Line line(listen);
     line.say("GET /watch HTTP/1.1\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Answer);
+    auto answer = line.hear(HttpReader::Side::Response);
     return answer && answer->status == 200 ? answer->body.text() : "";
   }
   void assign(const std::string& discovery_at) {
--- a/testing/soak_client.h
+++ b/testing/soak_client.h
@@ -44,7 +44,7 @@
   }
   Reply receive_reply(double deadline_s) {
     static thread_local BufferPool pool;
-    HttpReader reader(HttpReader::Side::Answer, pool);
+    HttpReader reader(HttpReader::Side::Response, pool);
     std::string held;
     while (now() < deadline_s) {
       pollfd polled{descriptor_, POLLIN, 0};
@@ -55,7 +55,7 @@
       if (count == 0) return {End::Closed};
       held.append(bytes, std::size_t(count));
       held.erase(0, reader.feed(held));
-      if (!reader.whole()) continue;
+      if (!reader.is_complete()) continue;
       HttpMessage reply = reader.take();
       return {End::Answered, reply.status, reply.keep_alive};
     }
--- a/tests/integration/admin_api.cpp
+++ b/tests/integration/admin_api.cpp
@@ -31,7 +31,7 @@
 std::string figures() {
   Line line(kAdmin);
   line.say(call("GET", "/api/telemetry"));
-  auto answer = line.hear(HttpReader::Side::Answer);
+  auto answer = line.hear(HttpReader::Side::Response);
   return answer && answer->status == 200 ? answer->body.text() : "";
 }
 bool shows(const std::string& line) { return figures().find("\n" + line + "\n") != std::string::npos; }
@@ -162,12 +162,12 @@
   busy.say(get());
   auto [attempt, request] = endpoint.take_request();
   attempt.say(ok("x"));
-  auto answer = busy.hear(HttpReader::Side::Answer);
+  auto answer = busy.hear(HttpReader::Side::Response);
   assert(answer && answer->status == 200 && !answer->keep_alive && busy.ended(1) && idle.ended(2));
   assert(ask("PUT", "/api/rejoin") == 200 && ask("PUT", "/api/rejoin") == 200);
   Line again(sidecar.listen);
   again.say("GET /healthz HTTP/1.1\r\n\r\n");
-  auto yes = again.hear(HttpReader::Side::Answer);
+  auto yes = again.hear(HttpReader::Side::Response);
   assert(yes && yes->status == 200 && yes->keep_alive && !again.anything(1.5));
 }
 
--- a/tests/integration/bulk.cpp
+++ b/tests/integration/bulk.cpp
@@ -44,7 +44,7 @@
 }
 // All of a message whose body may be as long as it likes.
 std::optional<HttpMessage> hear_long(Line& line, HttpReader::Side side) {
-  return line.hear(side, HttpReader::kMostStreamed);
+  return line.hear(side, HttpReader::kMaxStreamedBodyBytes);
 }
 
 void a_long_answer_is_passed_on_while_it_comes() {
@@ -59,7 +59,7 @@
     attempt.say(all.substr(0, 200000));
     assert(client.anything(1));  // its first bytes, before the endpoint has given the last
     std::thread rest([&, &line = attempt] { assert(line.say(all.substr(200000))); });
-    auto answer = hear_long(client, HttpReader::Side::Answer);
+    auto answer = hear_long(client, HttpReader::Side::Response);
     rest.join();
     assert(answer && answer->status == 200 && answer->body.text() == body);
     // Both connections are good for more.
@@ -82,7 +82,7 @@
     auto [attempt, request] = endpoint.take_request();
     std::string all = "HTTP/1.1 200 OK\r\n" + framed(body_of(150000), in_chunks, 150000);
     attempt.say_last(all.substr(0, all.size() - 22));  // all but the last chunk, or as many bytes
-    assert(!hear_long(client, HttpReader::Side::Answer) && client.ended(1));
+    assert(!hear_long(client, HttpReader::Side::Response) && client.ended(1));
   }
 }
 
@@ -201,7 +201,7 @@
       attempt->say(all.substr(cut, all.size() - 2 * cut)), sleep_for(0.002),
           attempt->say(all.substr(all.size() - cut));
     });
-    auto answer = hear_long(client, HttpReader::Side::Answer);
+    auto answer = hear_long(client, HttpReader::Side::Response);
     rest.join();
     assert(answer && answer->body.text() == body);
   }
--- a/tests/integration/clients.cpp
+++ b/tests/integration/clients.cpp
@@ -140,7 +140,7 @@
   assert(busy.answer_status() == 200);
   auto [second, asked] = endpoint.take_request();
   second.say(ok("x"));
-  auto answer = busy.hear(Side::Answer);
+  auto answer = busy.hear(Side::Response);
   assert(answer && answer->status == 200 && !answer->keep_alive);
 }
 
@@ -190,7 +190,7 @@
 constexpr double kStall = 0.15;     // that a sidecar may be held up for between reading its clock and writing
 constexpr double kToldLess = 0.02;  // so that the slack covers such a stall and what else goes by
 double notified(const HttpMessage& request) {
-  return read_time_left(request.header("X-Time-Left")).value_or(9);
+  return parse_remaining_deadline(request.header("X-Time-Left")).value_or(9);
 }
 
 void an_attempt_is_told_less_than_is_left() {
@@ -244,7 +244,7 @@
     std::string head = endpoint.take().text_until("\r\n\r\n", 2);
     std::size_t at = head.find("X-Time-Left: ") + 13;
     assert(now() - sent > 0.5 && at > 13);
-    assert(read_time_left(head.substr(at, head.find("\r\n", at) - at)).value_or(9) <
+    assert(parse_remaining_deadline(head.substr(at, head.find("\r\n", at) - at)).value_or(9) <
            2.8 - (now() - sent) + kSlack);
   }
 }
@@ -301,7 +301,7 @@
           attempts.push_back(endpoint.take());
           if (attempts.back().hear(Side::Request)) act(attempts.back());
         }
-        assert(now() - sent < *read_time_left(time) + 0.45);
+        assert(now() - sent < *parse_remaining_deadline(time) + 0.45);
       }
       int status = downstream.answer_status();
       assert(status == 502 || status == 503);
--- a/tests/integration/crossings.cpp
+++ b/tests/integration/crossings.cpp
@@ -211,11 +211,11 @@
   client.say(get("", "1") + get("", "2"));  // the second is sent on in the moment that the first is answered
   auto [attempt, request] = endpoint.take_request();
   attempt.say(ok("first"));
-  assert(client.hear(Side::Answer)->body.text() == "first" && endpoint.connection_waits(1));
+  assert(client.hear(Side::Response)->body.text() == "first" && endpoint.connection_waits(1));
   attempt.say(ok("late"));
   auto [next, again] = endpoint.take_request();
   next.say(ok("second"));
-  assert(client.hear(Side::Answer)->body.text() == "second");
+  assert(client.hear(Side::Response)->body.text() == "second");
 }
 
 // An upload that can't be read on was closed without a word.
@@ -413,7 +413,7 @@
 }
 
 double notified(const HttpMessage& request) {
-  return read_time_left(request.header("X-Time-Left")).value_or(9);
+  return parse_remaining_deadline(request.header("X-Time-Left")).value_or(9);
 }
 
 // What lay unread for a while has that much less time: its attempts told more than was left to its client.
--- a/tests/integration/fleet_processes.h
+++ b/tests/integration/fleet_processes.h
@@ -67,7 +67,7 @@
     Line line(admin());
     if (!line.connected) return {};
     line.say(method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Answer);
+    auto answer = line.hear(HttpReader::Side::Response);
     return answer && answer->status == 200 ? answer->body.text() : "";
   }
   json view() const { return json::parse(ask("/api/fleet"), nullptr, false); }
--- a/tests/integration/fleet_sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -42,7 +42,7 @@
     clients.emplace_back([&, to = fleet.all[std::size_t(i / kClients)].listener()] {
       for (Line line(to); !over; sleep_for(0.002)) {
         line.say(get("", prefix + std::to_string(++ids)));
-        auto answer = line.hear(HttpReader::Side::Answer);
+        auto answer = line.hear(HttpReader::Side::Response);
         lost += !answer || answer->status != 200;
         if (!answer) return;
       }
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -85,7 +85,7 @@
 
   line.say("GET /api/telemetry HTTP/1.1\r\n\r\n");
 
-  std::optional<HttpMessage> answer = line.hear(HttpReader::Side::Answer);
+  std::optional<HttpMessage> answer = line.hear(HttpReader::Side::Response);
   ASSERT_TRUE(answer);
   EXPECT_NE(answer->body.text().find("\nsidecar_log_lines_dropped_total 0\n"), std::string::npos)
       << answer->body.text();
--- a/tests/integration/production.cpp
+++ b/tests/integration/production.cpp
@@ -275,9 +275,9 @@
     for (int i = 0; !line_.anything(0); ++i) {
       double begun = now();
       if (!line_.say(get("", name + "x" + std::to_string(i)))) return;
-      std::optional<HttpMessage> answer = line_.hear(Side::Answer);
+      std::optional<HttpMessage> answer = line_.hear(Side::Response);
       constexpr double kGivesUp = 2.9;  // a line's own limit for one reading is 3 s
-      if (!answer && now() - begun > kGivesUp) answer = line_.hear(Side::Answer);
+      if (!answer && now() - begun > kGivesUp) answer = line_.hear(Side::Response);
       // An end that crosses the request comes at once; the request was not read then and is sent again.
       constexpr double kCrosses = 0.03;
       if (!answer && now() - begun > kCrosses) ++lost;
--- a/tests/integration/serving.cpp
+++ b/tests/integration/serving.cpp
@@ -22,22 +22,22 @@
   auto [attempt, request] = endpoint.take_request();
   assert(request.method == "GET" && request.target == "/read/a?b" &&
          request.header("X-Correlation-Id") == "77");
-  std::optional<double> left = read_time_left(request.header("X-Time-Left"));
+  std::optional<double> left = parse_remaining_deadline(request.header("X-Time-Left"));
   assert(left && *left > 0.3 && *left <= 0.4);
   std::string large(65536, 'z');
   attempt.say(ok(large).substr(0, 30000));
   sleep_for(0.02);
   attempt.say(ok(large).substr(30000));
-  auto answer = client.hear(HttpReader::Side::Answer);
+  auto answer = client.hear(HttpReader::Side::Response);
   assert(answer && answer->status == 200 && answer->body.text() == large);
   settle();
   client.say(post(large));
   auto second = attempt.hear(HttpReader::Side::Request);
   assert(second && second->body.text() == large && !endpoint.connection_waits(0));
-  left = read_time_left(second->header("X-Time-Left"));
+  left = parse_remaining_deadline(second->header("X-Time-Left"));
   assert(left && *left > 0.9 && *left <= 1);  // none was told: the request class's client timeout
   attempt.say(ok("two"));
-  assert(client.hear(HttpReader::Side::Answer)->body.text() == "two");
+  assert(client.hear(HttpReader::Side::Response)->body.text() == "two");
 }
 
 void requests_sent_ahead_are_answered_in_turn() {
@@ -50,8 +50,8 @@
   for (int i = 0; i < 200; ++i) assert(client.answer_status() == 200);
   auto [attempt, request] = endpoint.take_request();
   attempt.say(ok("x"));
-  assert(client.hear(HttpReader::Side::Answer)->body.text() == "x");
-  assert(client.hear(HttpReader::Side::Answer)->body.text() == "ready\n");
+  assert(client.hear(HttpReader::Side::Response)->body.text() == "x");
+  assert(client.hear(HttpReader::Side::Response)->body.text() == "ready\n");
 }
 
 // Rule 2 as it shows on the wire: what each end of an attempt lets an unsafe request do.
@@ -506,7 +506,7 @@
   }
   assert(latest.answer_status() == 200 && late.answer_status() == 200);
   attempt.say(ok("first"));
-  assert(busy.hear(HttpReader::Side::Answer)->body.text() == "first");
+  assert(busy.hear(HttpReader::Side::Response)->body.text() == "first");
   late.shut(), busy.shut();
   // Its listener is shut, but who is connected may have nobody else to go to: two restarts that overlapped
   // cost a second of all requests.
@@ -514,11 +514,11 @@
   assert(!Line(sidecar.listen).connected && sidecar.exit_code(0) == -1);
   latest.say(get("", "80"));
   auto asked = attempt.hear(HttpReader::Side::Request);
-  std::optional<double> left = read_time_left(asked->header("X-Time-Left"));
+  std::optional<double> left = parse_remaining_deadline(asked->header("X-Time-Left"));
   assert(left && *left < 0.95);  // of 1: it must be answered before the program has to be gone
   sleep_for(0.5);                // past the last call, with half a second, the latency objective, left
   attempt.say(ok("late"));
-  auto answer = latest.hear(HttpReader::Side::Answer);
+  auto answer = latest.hear(HttpReader::Side::Response);
   assert(answer && answer->status == 200 && !answer->keep_alive && idle.ended(0.2) && latest.ended(0.2));
   latest.shut();
   assert(sidecar.exit_code(2) == 0);
--- a/tests/integration/site_serving.cpp
+++ b/tests/integration/site_serving.cpp
@@ -172,7 +172,7 @@
   auto [attempt, request] = one.take_request();
   assert(request.target == "/a/1?x" && request.header("X-Correlation-Id").size() == 32);
   attempt.say(answer("404 Not Found", "none", "X-Own: 1\r\n"));
-  auto heard = client.hear(HttpReader::Side::Answer);
+  auto heard = client.hear(HttpReader::Side::Response);
   assert(heard && heard->status == 404 && heard->header("X-Own") == "1" && heard->body.text() == "none");
   client.say(post("/b/x", "effect"));
   auto [second, changed] = two.take_request();
@@ -180,7 +180,7 @@
   second.say(answer("201 Created", ""));
   assert(client.answer_status() == 201);
   client.say(get("/gone"));
-  heard = client.hear(HttpReader::Side::Answer);
+  heard = client.hear(HttpReader::Side::Response);
   assert(heard->status == 410 && heard->body.text() == "no more\n");
   client.say(get("/elsewhere"));
   assert(client.answer_status() == 404);
@@ -200,7 +200,7 @@
   Listener &first = one.connection_waits(0) ? one : two, &other = &first == &one ? two : one;
   auto [attempt, request] = first.take_request();
   attempt.say(answer("500 Oops", "the reason", "X-Own: 1\r\n"));
-  auto heard = client.hear(HttpReader::Side::Answer);
+  auto heard = client.hear(HttpReader::Side::Response);
   assert(heard && heard->status == 500 && heard->body.text() == "the reason" &&
          heard->header("X-Own") == "1");
   assert(!other.connection_waits(0.1));  // rule 2
@@ -272,7 +272,7 @@
   site.reload(base);
   assert(idle.ended(1) && !Line(second).connected);
   first.say(answer("200 OK", "in time"));
-  auto heard = waiting.hear(HttpReader::Side::Answer);
+  auto heard = waiting.hear(HttpReader::Side::Response);
   assert(heard && heard->body.text() == "in time" && heard->header("Connection") == "close" &&
          waiting.ended(2));
 }
@@ -294,8 +294,8 @@
   assert(second.target == "/a/2");
   attempt.say(answer("200 OK", "first"));
   next.say(answer("200 OK", "second"));
-  assert(out.hear(HttpReader::Side::Answer)->body.text() == "first");
-  assert(other.hear(HttpReader::Side::Answer)->body.text() == "second");
+  assert(out.hear(HttpReader::Side::Response)->body.text() == "first");
+  assert(other.hear(HttpReader::Side::Response)->body.text() == "second");
   assert(!one.connection_waits(0.1) && !two.connection_waits(0) && !next.anything(0));
   other.say(post("/b/3", "effect"));
   auto [last, third] = one.take_request();
@@ -325,7 +325,7 @@
   client.say(get("/b"));
   assert(client.answer_status() == 404);
   last.say(answer("200 OK", "ended under its own version"));
-  assert(out.hear(HttpReader::Side::Answer)->body.text() == "ended under its own version");
+  assert(out.hear(HttpReader::Side::Response)->body.text() == "ended under its own version");
   assert(last.ended(2));  // and its connection is not kept
 }
 
--- a/tests/integration/slow_reader_test.cpp
+++ b/tests/integration/slow_reader_test.cpp
@@ -36,7 +36,7 @@
     client.say(get("", "second"));
   }
   static std::size_t body_bytes(Line& client) {
-    std::optional<HttpMessage> answer = client.hear(HttpReader::Side::Answer, kAnswerBytes);
+    std::optional<HttpMessage> answer = client.hear(HttpReader::Side::Response, kAnswerBytes);
     return answer ? answer->body.size() : 0;
   }
 
--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -61,7 +61,7 @@
     const std::string name = "\nsidecar_cluster_unhealthy ";
     Line line(admin_of(0));
     line.say("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Answer);
+    auto answer = line.hear(HttpReader::Side::Response);
     assert(answer);
     const std::string text = answer->body.text();
     return std::stoi(text.substr(text.find(name) + name.size()));
@@ -228,7 +228,7 @@
   for (int i = 0; i < 5; ++i) {
     Line client(fleet.sidecar->listen);
     client.say(post(body));
-    auto answer = client.hear(HttpReader::Side::Answer);
+    auto answer = client.hear(HttpReader::Side::Response);
     assert(answer && answer->status == 200 && answer->body.size() == 60'000);
   }
 }
--- a/tests/integration/upgrade.cpp
+++ b/tests/integration/upgrade.cpp
@@ -53,7 +53,7 @@
         if (!line->connected) ++lost, line.reset();
         if (!line) continue;
         line->say(get("", std::to_string(client) + "x" + std::to_string(i)));
-        auto answer = line->hear(HttpReader::Side::Answer);
+        auto answer = line->hear(HttpReader::Side::Response);
         if (!answer || answer->status != 200) ++lost, line.reset();
         else if (++served; !answer->keep_alive) ++ended, line.reset();
         sleep_for(0.002);
@@ -137,7 +137,7 @@
   auto avoids_one = [](int number) {
     Line line(admin_of(number));
     line.say("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Answer);
+    auto answer = line.hear(HttpReader::Side::Response);
     return answer && answer->body.text().find("\nsidecar_cluster_unhealthy 1\n") != std::string::npos;
   };
   Running predecessor(known, options(0, discovery));
@@ -160,7 +160,7 @@
   auto figure = [](int number, const std::string& name) {
     Line line(admin_of(number));
     line.say("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Answer);
+    auto answer = line.hear(HttpReader::Side::Response);
     std::string text = answer ? answer->body.text() : "";
     std::size_t at = text.find("\nsidecar_" + name + " ");
     return at == std::string::npos ? -1 : std::atoi(text.c_str() + at + name.size() + 10);
