--- a/src/policy/backup_request_policy.cpp
+++ b/src/policy/backup_request_policy.cpp
@@ -16,7 +16,7 @@
 constexpr double kStallSeconds = 0.35;  // a gap between two calls that means this process was held up
 // Without a request for so long nothing is known of rates: as far as the recent one looks back.
 constexpr double kRateHistoryResetSeconds = 8;
-constexpr double kMostHeaviness = 4;
+constexpr double kMaxWorkRatio = 4;
 
 }  // namespace
 
@@ -112,7 +112,7 @@
     accepted.key_hash = hash_name(kHashMultiplier, request.key);
   }
   double objective_s = class_of(accepted).latency_objective_s;
-  accepted.heaviness = std::clamp(4 * request.work_s / objective_s, 1.0, kMostHeaviness);
+  accepted.work_ratio = std::clamp(4 * request.work_s / objective_s, 1.0, kMaxWorkRatio);
   accepted.work_s = request.work_s;
   if (request.work_s > 0) {
     slow_start_.record_work(request.work_s);
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -29,7 +29,7 @@
         weights_are_shares_(weights_are_shares),
         is_random_(order == EndpointSelection::Order::AtRandom),
         is_first_attempt_(request.attempts.empty()),
-        may_repeat_endpoint_(inputs.retry_safety.may_repeat_endpoint(request)),
+        may_retry_same_endpoint_(inputs.retry_safety.may_retry_same_endpoint(request)),
         is_unsafe_(inputs.deployment.request_classes[request.class_index].idempotency == Idempotency::Unsafe),
         needs_draw_(is_random_ || weights_are_shares || inputs.deployment.responses_report_load),
         own_attempt_depth_(weights_are_shares || inputs.deployment.responses_report_load ? 0 : 1),
@@ -47,7 +47,7 @@
     if (is_first_attempt_) {
       return true;
     }
-    if (is_repeat(endpoint) && !may_repeat_endpoint_) {
+    if (is_repeat(endpoint) && !may_retry_same_endpoint_) {
       return false;
     }
     return inputs_.retry_safety.may_attempt(request_, endpoint, now_);
@@ -102,8 +102,8 @@
       weight *= kStartingEndpointDepth;
     }
     // A heavy request's own work is most of its latency, so it goes rather to fast endpoints.
-    if (request_.heaviness > 1) {
-      weight = std::pow(weight, request_.heaviness);
+    if (request_.work_ratio > 1) {
+      weight = std::pow(weight, request_.work_ratio);
     }
     return weight;
   }
@@ -114,7 +114,7 @@
   bool weights_are_shares_;
   bool is_random_;
   bool is_first_attempt_;
-  bool may_repeat_endpoint_;
+  bool may_retry_same_endpoint_;
   bool is_unsafe_;
   bool needs_draw_;           // an exponential draw decides, or breaks ties
   double own_attempt_depth_;  // that the attempt itself counts for
@@ -160,7 +160,7 @@
   if (now >= request.deadline - 2 * inputs_.deployment.round_trip_s) {
     return false;
   }
-  bool may_repeat = inputs_.retry_safety.may_repeat_endpoint(request);
+  bool may_repeat = inputs_.retry_safety.may_retry_same_endpoint(request);
   for (const Endpoint& endpoint : inputs_.endpoints.slots()) {
     if (endpoint.health() != Health::Healthy ||
         endpoint.class_health(request.class_index) != Health::Healthy) {
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -48,7 +48,7 @@
   QueuePosition queue_position;
   double priority_percentile = 0;  // share of recent requests that rank behind it
   double capacity_draw = 0;    // random, in [0, 1): whether it is admitted where a fraction of a request fits
-  double heaviness = 1;        // its work against a quarter of its latency objective, at least 1
+  double work_ratio = 1;       // its work against a quarter of its latency objective, at least 1
   double work_s = 0;           // as announced, 0: unknown
   std::uint64_t key_hash = 0;  // 0: no key that counts
   bool counts_as_load = false;  // in ConcurrencyLimit, with the weights below
--- a/src/policy/retry_safety.cpp
+++ b/src/policy/retry_safety.cpp
@@ -45,7 +45,7 @@
   return false;
 }
 
-bool RetrySafety::may_repeat_endpoint(const RequestState& request) const {
+bool RetrySafety::may_retry_same_endpoint(const RequestState& request) const {
   return class_of(request).idempotency == Idempotency::Keyed && !cannot_have_run(request);
 }
 
--- a/src/policy/retry_safety.h
+++ b/src/policy/retry_safety.h
@@ -14,7 +14,7 @@
   bool may_attempt(const RequestState& request, const Endpoint& endpoint, double now) const;
   // Whether an endpoint that it met may get it again: a keyed request that may have run, as its group may
   // have no other endpoint.
-  bool may_repeat_endpoint(const RequestState& request) const;
+  bool may_retry_same_endpoint(const RequestState& request) const;
   // Whether it may be rejected, which promises that sending it again does no harm.
   bool may_reject(const RequestState& request) const;
   // Whether two attempts were lost that may have run: the request may be what breaks its endpoints.
--- a/src/policy/retry_safety_test.cpp
+++ b/src/policy/retry_safety_test.cpp
@@ -97,9 +97,9 @@
 }
 
 TEST_F(RetrySafetyTest, OnlyAKeyedRequestThatMayHaveRunRepeatsAnEndpoint) {
-  EXPECT_TRUE(safety_.may_repeat_endpoint(lost(kKeyedInZone)));
-  EXPECT_FALSE(safety_.may_repeat_endpoint(never_ran(kKeyedInZone)));
-  EXPECT_FALSE(safety_.may_repeat_endpoint(lost(kSafe)));
+  EXPECT_TRUE(safety_.may_retry_same_endpoint(lost(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_retry_same_endpoint(never_ran(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_retry_same_endpoint(lost(kSafe)));
 }
 
 TEST_F(RetrySafetyTest, RejectsOnlyWhatDoesNoHarmAgain) {
