--- a/src/admin/shadow_policy.cpp
+++ b/src/admin/shadow_policy.cpp
@@ -52,7 +52,7 @@
 };
 
 ShadowPolicy::ShadowPolicy(double now, Deployment acting, Deployment shadow, std::uint64_t seed, Host& host,
-                           Differences& counted, const PolicyMaker& make)
+                           Differences& counted, const PolicyFactory& make)
     : host_(host), counted_(counted), now_(now) {
   for (Side side : {Acting, Imagined}) {
     listeners_[side] = std::make_unique<Listener>(*this, side);
--- a/src/admin/shadow_policy.h
+++ b/src/admin/shadow_policy.h
@@ -24,7 +24,7 @@
 class ShadowPolicy final : public Policy {
  public:
   ShadowPolicy(double now, Deployment acting, Deployment shadow, std::uint64_t seed, Host& host,
-               Differences& counted, const PolicyMaker& make);
+               Differences& counted, const PolicyFactory& make);
   ~ShadowPolicy() override;
 
   void on_endpoint_list(double now, ListScope scope, std::span<const ListEntry> entries) override;
--- a/src/admin/telemetry.cpp
+++ b/src/admin/telemetry.cpp
@@ -27,25 +27,27 @@
 
 }  // namespace
 
-std::string write_telemetry(const std::vector<RequestClass>& request_classes, const Figures& figures,
+std::string write_telemetry(const std::vector<RequestClass>& request_classes, const RequestCounters& counters,
                             const Standing& standing, std::uint64_t dropped_log_lines) {
   struct Counter {
     std::string_view name, help;
-    Ended how;
+    RequestOutcome how;
   };
   static constexpr Counter kCounters[] = {
-      {"answered_total", "Visits delivered, by path prefix.", Ended::Delivered},
-      {"deferred_total", "Visits bounced, by path prefix: trying again does no harm.", Ended::Rejected},
-      {"errored_total", "Visits errored, by path prefix: they may have run.", Ended::Failed}};
+      {"answered_total", "Visits delivered, by path prefix.", RequestOutcome::Delivered},
+      {"deferred_total", "Visits bounced, by path prefix: trying again does no harm.",
+       RequestOutcome::Rejected},
+      {"errored_total", "Visits errored, by path prefix: they may have run.", RequestOutcome::Failed}};
   std::string text;
   for (const Counter& counter : kCounters) {
     head(text, counter.name, "counter", counter.help);
     for (std::size_t i = 0; i < request_classes.size(); ++i) {
       text.append("sidecar_").append(counter.name).append("{group=\"").append(label(request_classes[i].name));
-      text.append("\"} ").append(std::to_string(figures.ended(i, counter.how))).append("\n");
+      text.append("\"} ").append(std::to_string(counters.count(i, counter.how))).append("\n");
     }
   }
-  single(text, "sends_total", "counter", "Backend fetches written whole to endpoints.", figures.attempts());
+  single(text, "sends_total", "counter", "Backend fetches written whole to endpoints.",
+         counters.attempts_sent());
   single(text, "current", "gauge", "Visits taken and not ended.", standing.under_way);
   single(text, "cluster_size", "gauge", "Endpoints in the list.", standing.endpoints);
   single(text, "cluster_unhealthy", "gauge", "Listed endpoints avoided now, by order or by choice.",
--- a/src/admin/telemetry.h
+++ b/src/admin/telemetry.h
@@ -16,7 +16,7 @@
   std::size_t under_way = 0, endpoints = 0, avoided = 0;
 };
 
-std::string write_telemetry(const std::vector<RequestClass>& request_classes, const Figures& figures,
+std::string write_telemetry(const std::vector<RequestClass>& request_classes, const RequestCounters& counters,
                             const Standing& standing, std::uint64_t dropped_log_lines);
 
 std::string write_telemetry(const std::vector<fleet::Fleet::Figure>& figures);
--- a/src/proxy/addresses.h
+++ b/src/proxy/addresses.h
@@ -8,27 +8,27 @@
 
 namespace puffinvane {
 
-class Addresses {
+class EndpointAddresses {
  public:
   // Returns the endpoints whose connections are of no more use: this one if it was known at another address,
   // and whoever had this address before. Two can't listen there, so that one is gone, told or not.
-  std::vector<std::string> note(const std::string& endpoint, const std::string& address) {
+  std::vector<std::string> assign(const std::string& endpoint, const std::string& address) {
     std::vector<std::string> stale;
     if (const std::string* known = find(endpoint)) {
       if (*known == address) return stale;
       stale.push_back(endpoint);
     }
-    if (const std::string* before = owner(address)) stale.push_back(*before);
-    for (const std::string& name : stale) forget(name);
+    if (const std::string* before = endpoint_at(address)) stale.push_back(*before);
+    for (const std::string& name : stale) erase(name);
     by_name_[endpoint] = address, by_address_[address] = endpoint;
     return stale;
   }
   // Who has it.
-  const std::string* owner(const std::string& address) const {
+  const std::string* endpoint_at(const std::string& address) const {
     auto found = by_address_.find(address);
     return found == by_address_.end() ? nullptr : &found->second;
   }
-  std::vector<std::string> missing_from(const std::set<std::string>& listed) const {
+  std::vector<std::string> not_listed_in(const std::set<std::string>& listed) const {
     std::vector<std::string> missing;
     for (const auto& [name, address] : by_name_) {
       if (!listed.contains(name)) missing.push_back(name);
@@ -39,7 +39,7 @@
     auto found = by_name_.find(endpoint);
     return found == by_name_.end() ? nullptr : &found->second;
   }
-  void forget(const std::string& endpoint) {
+  void erase(const std::string& endpoint) {
     auto found = by_name_.find(endpoint);
     if (found == by_name_.end()) return;
     by_address_.erase(found->second), by_name_.erase(found);
--- a/src/proxy/figures.h
+++ b/src/proxy/figures.h
@@ -9,17 +9,19 @@
 
 namespace puffinvane {
 
-enum class Ended { Delivered, Rejected, Failed };
+enum class RequestOutcome { Delivered, Rejected, Failed };
 
-class Figures {
+class RequestCounters {
  public:
-  explicit Figures(std::size_t request_classes) : ended_(request_classes) {}
-  void note(std::size_t request_class, Ended how) { ++ended_[request_class][std::size_t(how)]; }
-  void note_attempt() { ++attempts_; }
-  std::uint64_t ended(std::size_t request_class, Ended how) const {
+  explicit RequestCounters(std::size_t request_classes) : ended_(request_classes) {}
+  void record_outcome(std::size_t request_class, RequestOutcome how) {
+    ++ended_[request_class][std::size_t(how)];
+  }
+  void record_attempt() { ++attempts_; }
+  std::uint64_t count(std::size_t request_class, RequestOutcome how) const {
     return ended_[request_class][std::size_t(how)];
   }
-  std::uint64_t attempts() const { return attempts_; }
+  std::uint64_t attempts_sent() const { return attempts_; }
 
  private:
   std::vector<std::array<std::uint64_t, 3>> ended_;
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -17,11 +17,12 @@
  public:
   using Owned = std::unique_ptr<Connection>;
 
-  void put(const std::string& endpoint, Owned connection, double now) {
+  void add(const std::string& endpoint, Owned connection, double now) {
     kept_[endpoint].emplace_back(now, std::move(connection));
   }
   // The last used, of those that have been idle since 'before' or longer.
-  Owned take(const std::string& endpoint, double before = std::numeric_limits<double>::infinity()) {
+  Owned take_most_recent(const std::string& endpoint,
+                         double before = std::numeric_limits<double>::infinity()) {
     auto found = kept_.find(endpoint);
     if (found == kept_.end()) return {};
     auto& list = found->second;
@@ -29,7 +30,7 @@
         std::find_if(list.rbegin(), list.rend(), [&](const auto& kept) { return kept.first <= before; });
     return at == list.rend() ? Owned() : take_at(found, std::size_t(list.rend() - at) - 1);
   }
-  Owned take(const std::string& endpoint, const Connection& one) {
+  Owned remove(const std::string& endpoint, const Connection& one) {
     auto found = kept_.find(endpoint);
     if (found == kept_.end()) return {};
     auto& list = found->second;
@@ -45,7 +46,8 @@
     if (oldest == kept_.end() || oldest->second.front().first > before) return {};
     return take_at(oldest, 0);
   }
-  double oldest() const {  // since when the longest idle of all has been so; infinite: there is none
+  double oldest_idle_since()
+      const {  // since when the longest idle of all has been so; infinite: there is none
     double since = std::numeric_limits<double>::infinity();
     for (const auto& [endpoint, list] : kept_) since = std::min(since, list.front().first);
     return since;
--- a/src/proxy/kept_uses.h
+++ b/src/proxy/kept_uses.h
@@ -8,15 +8,15 @@
 
 namespace puffinvane {
 
-class KeptUses {
+class IdleReuseHistory {
  public:
-  void note(double idle, bool reset) {
+  void record(double idle, bool reset) {
     uses_.push_back({idle, reset});
     if (uses_.size() > kMost) uses_.pop_front();
   }
   // Whether one that has stood idle for so long had better not carry what can't be sent again. Judged by
   // those that stood up to twice as long: the fresher a connection, the fewer of them were dropped.
-  bool doubtful(double idle) const {
+  bool likely_stale(double idle) const {
     double alike = 0, reset = 0;
     for (const Use& use : uses_) {
       if (use.idle <= 2 * idle) alike += 1, reset += use.reset;
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -35,12 +35,12 @@
 }  // namespace
 
 RequestForwarder::RequestForwarder(Loop& loop, ConnectionLimiter& limiter, Deployment deployment,
-                                   std::uint64_t seed, PolicyMaker make, ForwarderOptions options)
+                                   std::uint64_t seed, PolicyFactory make, ForwarderOptions options)
     : loop_(loop),
       limiter_(limiter),
       deployment_(std::move(deployment)),
       options_(std::move(options)),
-      figures_(deployment_.request_classes.size()),
+      counters_(deployment_.request_classes.size()),
       policy_(make(loop.now(), deployment_, seed, *this)) {
   limiter_.join(*this);
   sweep();
@@ -48,7 +48,7 @@
 
 RequestForwarder::~RequestForwarder() { limiter_.leave(*this); }
 
-void RequestForwarder::leave(double gone) {
+void RequestForwarder::begin_shutdown(double gone) {
   gone_ = gone;
   policy_->on_shutdown(loop_.now(), gone);
 }
@@ -58,7 +58,7 @@
   for (RequestForwarder* successor : successors)
     successors_.push_back({successor, successor->alive_.watch()});
   while (!rising_.empty()) drop_rising(std::string(rising_.begin()->first));
-  for (double since = idle_.oldest(); !std::isinf(since); since = idle_.oldest())
+  for (double since = idle_.oldest_idle_since(); !std::isinf(since); since = idle_.oldest_idle_since())
     pass_on(idle_.take_oldest(since), since);
 }
 
@@ -72,12 +72,12 @@
     if (!address || !theirs || *theirs != *address) continue;
     idle->pass_to(*successor.forwarder);
     std::string endpoint = idle->endpoint();
-    return successor.forwarder->idle_.put(endpoint, std::move(idle), since);
+    return successor.forwarder->idle_.add(endpoint, std::move(idle), since);
   }
   idle->give_up(), loop_.bury(std::move(idle));
 }
 
-bool RequestForwarder::spent() const {
+bool RequestForwarder::can_be_destroyed() const {
   // Alarms of requests go on until their client timeouts: with none of those to come nobody asks for it.
   double longest = 0;
   for (const RequestClass& request_class : deployment_.request_classes)
@@ -87,8 +87,8 @@
 }
 
 void RequestForwarder::log(std::string_view text) {
-  if (options_.pool.empty()) loop_.log().info() << text;
-  else loop_.log().event(Level::Info, "pool.report").with("pool", options_.pool).with("text", text);
+  if (options_.pool_name.empty()) loop_.log().info() << text;
+  else loop_.log().event(Level::Info, "pool.report").with("pool", options_.pool_name).with("text", text);
 }
 
 // ---- what the module asks for
@@ -107,12 +107,13 @@
 
 std::unique_ptr<UpstreamConnection> RequestForwarder::take_kept(UpstreamConnection::AttemptId attempt,
                                                                 const std::string& endpoint) {
-  while (std::unique_ptr<UpstreamConnection> kept = idle_.take(endpoint, loop_.now() - kSettled)) {
+  while (std::unique_ptr<UpstreamConnection> kept =
+             idle_.take_most_recent(endpoint, loop_.now() - kSettled)) {
     double idle = kept->stood_idle(loop_.now());
     // Rule 2: an unsafe request that meets a dropped connection can only be failed. The others find out.
     if (requests_.find(attempt.request)->request_class->idempotency == Idempotency::Unsafe &&
-        kept_uses_.doubtful(idle)) {
-      idle_.put(endpoint, std::move(kept), loop_.now() - idle);
+        kept_uses_.likely_stale(idle)) {
+      idle_.add(endpoint, std::move(kept), loop_.now() - idle);
       return {};
     }
     // The endpoint may have closed it in this very turn of the loop.
@@ -147,8 +148,8 @@
 }
 
 std::unique_ptr<UpstreamConnection> RequestForwarder::open(const std::string& endpoint) {
-  auto fresh =
-      std::make_unique<UpstreamConnection>(loop_, *this, endpoint, options_.most_body, options_.streams);
+  auto fresh = std::make_unique<UpstreamConnection>(loop_, *this, endpoint, options_.max_body_bytes,
+                                                    options_.stream_bodies);
   const std::string* address = addresses_.find(endpoint);
   bool begun = address && fresh->connect(*address, deployment_.connect_timeout_s);
   return begun ? std::move(fresh) : nullptr;
@@ -176,7 +177,7 @@
     return one.second->connecting() && one.second->endpoint() == endpoint;
   });
   if (retired_) return loop_.bury(std::move(risen));
-  if (waits == busy_.end()) return idle_.put(endpoint, std::move(risen), loop_.now() - kSettled);
+  if (waits == busy_.end()) return idle_.add(endpoint, std::move(risen), loop_.now() - kSettled);
   std::unique_ptr<UpstreamConnection> waiting = std::move(busy_.extract(waits).mapped());
   const UpstreamConnection::AttemptId attempt = waiting->attempt_id();
   waiting->rise();
@@ -256,10 +257,11 @@
   if (!request || request->concluded()) return;
   DownstreamConnection& downstream = *std::exchange(request->downstream, nullptr);
   downstream.request.reset();
-  figures_.note(number_of(*request->request_class), status == 503 && !from   ? Ended::Rejected
-                                                    : status == 502 && !from ? Ended::Failed
-                                                    : status < 500           ? Ended::Delivered
-                                                                             : Ended::Failed);
+  counters_.record_outcome(index_of(*request->request_class),
+                           status == 503 && !from   ? RequestOutcome::Rejected
+                           : status == 502 && !from ? RequestOutcome::Failed
+                           : status < 500           ? RequestOutcome::Delivered
+                                                    : RequestOutcome::Failed);
   downstream.answer(status, from, more_headers, text, false);
   // Not forgotten here: the module may be in the middle of it, and ask for more cancels.
   loop_.soon(alive_.guard([this, id] { requests_.forget_if_over(id); }));
@@ -354,7 +356,7 @@
     return end_soon(id, number, Outcome::Cancelled);
   }
   attempt.upstream = nullptr, attempt.reported = true;
-  if (attempt.stood_idle) kept_uses_.note(*attempt.stood_idle, false);
+  if (attempt.stood_idle) kept_uses_.record(*attempt.stood_idle, false);
   request.relay = &upstream;
   Load load = read_load(answer.header("X-Backend-Load"));
   loop_.at(request.until, alive_.guard([this, id] { look_at_relay(id); }));
@@ -384,9 +386,9 @@
   if (request && request->relay) request->relay->hold_back(false);
 }
 
-DownstreamConnection* RequestForwarder::end_relay(RequestId id, Ended how) {
+DownstreamConnection* RequestForwarder::end_relay(RequestId id, RequestOutcome how) {
   PendingRequest& request = *requests_.find(id);
-  figures_.note(number_of(*request.request_class), how);
+  counters_.record_outcome(index_of(*request.request_class), how);
   request.relay = nullptr;
   DownstreamConnection* downstream = std::exchange(request.downstream, nullptr);
   downstream->request.reset();
@@ -395,14 +397,14 @@
 }
 
 void RequestForwarder::on_finished(UpstreamConnection& upstream, BufferChain bytes) {
-  DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, Ended::Delivered);
+  DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Delivered);
   downstream->more(std::move(bytes));
   downstream->end_answer();
   keep_or_close(no_longer_busy(upstream));
 }
 
 void RequestForwarder::on_cut(UpstreamConnection& upstream) {
-  DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, Ended::Failed);
+  DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Failed);
   loop_.bury(no_longer_busy(upstream));
   downstream->cut_answer();
 }
@@ -422,7 +424,7 @@
   if (!upstream->idle()) return upstream->give_up(), loop_.bury(std::move(upstream));
   if (retired_) return pass_on(std::move(upstream), loop_.now());
   std::string endpoint = upstream->endpoint();
-  idle_.put(endpoint, std::move(upstream), loop_.now());
+  idle_.add(endpoint, std::move(upstream), loop_.now());
 }
 
 void RequestForwarder::on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage answer) {
@@ -430,17 +432,17 @@
   keep_or_close(no_longer_busy(upstream));
   PendingAttempt& attempt = requests_.find(id)->attempts[std::size_t(number)];
   attempt.upstream = nullptr;
-  if (attempt.stood_idle) kept_uses_.note(*attempt.stood_idle, outcome == Outcome::Stale);
+  if (attempt.stood_idle) kept_uses_.record(*attempt.stood_idle, outcome == Outcome::Stale);
   ended(id, number, outcome, &answer);
 }
 
 Outcome RequestForwarder::outcome_of(const HttpMessage& answer) const {
-  return options_.any_status ? outcome_of_any(answer) : puffinvane::outcome_of(answer);
+  return options_.relay_any_status ? outcome_of_any(answer) : puffinvane::outcome_of(answer);
 }
 
 void RequestForwarder::on_idle_end(UpstreamConnection& upstream) {
   std::unique_ptr<UpstreamConnection> risen = no_longer_rising(upstream);
-  loop_.bury(risen ? std::move(risen) : idle_.take(upstream.endpoint(), upstream));
+  loop_.bury(risen ? std::move(risen) : idle_.remove(upstream.endpoint(), upstream));
 }
 
 void RequestForwarder::out_of_time(RequestId id, int number) {
@@ -462,9 +464,10 @@
   if (!request || request->attempts[std::size_t(number)].reported) return;
   request->attempts[std::size_t(number)].reported = true;
   double now = loop_.now();
-  if (outcome == Outcome::Delivered) conclude(id, options_.any_status ? answer->status : 200, answer, "", "");
+  if (outcome == Outcome::Delivered)
+    conclude(id, options_.relay_any_status ? answer->status : 200, answer, "", "");
   Load load = answer ? read_load(answer->header("X-Backend-Load")) : Load();
-  if (options_.any_status && outcome == Outcome::Failed && answer && answer->status > 0 &&
+  if (options_.relay_any_status && outcome == Outcome::Failed && answer && answer->status > 0 &&
       !request->concluded())
     request->failed = std::move(*answer);
   policy_->on_attempt_ended(now, {id, number, outcome, request->concluded(),
@@ -493,8 +496,8 @@
   return nullptr;
 }
 
-void RequestForwarder::take(DownstreamConnection& downstream, HttpMessage message,
-                            const RequestClass& request_class, double time_left) {
+void RequestForwarder::forward(DownstreamConnection& downstream, HttpMessage message,
+                               const RequestClass& request_class, double time_left) {
   // It may have lain unread for all of a stall, at the listener or behind another one; its client has counted
   // on meanwhile. An upload's time begins with its last byte.
   double lain = downstream.uploading() ? 0 : std::max(loop_.stalled(), downstream.lain());
@@ -533,7 +536,7 @@
 
 void RequestForwarder::drop_connections(const std::string& endpoint) {
   drop_rising(endpoint);
-  while (std::unique_ptr<UpstreamConnection> kept = idle_.take(endpoint))
+  while (std::unique_ptr<UpstreamConnection> kept = idle_.take_most_recent(endpoint))
     kept->give_up(), loop_.bury(std::move(kept));
   // Rule 3: a connect time-out may be longer than the grace, and the request is written at its end.
   std::vector<UpstreamConnection*> coming_up;
@@ -554,7 +557,7 @@
   return attempt_id;
 }
 
-void RequestForwarder::know(const EndpointList& known) { note_entries(known, ListScope::Cached); }
+void RequestForwarder::load_cached_list(const EndpointList& known) { note_entries(known, ListScope::Cached); }
 
 void RequestForwarder::on_endpoint_list(const EndpointList& notified) {
   if (listed_.empty())
@@ -606,7 +609,7 @@
   }
 }
 
-EndpointList RequestForwarder::listing() const {
+EndpointList RequestForwarder::endpoint_list() const {
   EndpointList list;
   list.index = index_, list.is_snapshot = true;
   for (const auto& [name, notified] : listed_)
@@ -614,9 +617,9 @@
   return list;
 }
 
-std::size_t RequestForwarder::under_way() const { return requests_.under_way(); }
+std::size_t RequestForwarder::active_request_count() const { return requests_.under_way(); }
 
-std::size_t RequestForwarder::avoided() const {
+std::size_t RequestForwarder::avoided_endpoint_count() const {
   auto going = [this](const auto& one) {
     return one.second.state != ListedState::Ready || out_.contains(one.first);
   };
@@ -624,18 +627,18 @@
          std::size_t(std::count_if(listed_.begin(), listed_.end(), going));
 }
 
-bool RequestForwarder::knows(std::string_view endpoint) const {
+bool RequestForwarder::knows_endpoint(std::string_view endpoint) const {
   return listed_.contains(endpoint) || std::find(lately_.begin(), lately_.end(), endpoint) != lately_.end();
 }
 
-void RequestForwarder::stop(std::string_view endpoint) {
+void RequestForwarder::exclude_endpoint(std::string_view endpoint) {
   std::string name(endpoint);
   out_.insert(name);
   drop_connections(name);
   if (auto found = listed_.find(endpoint); found != listed_.end()) notify(found->second);
 }
 
-void RequestForwarder::use_again(std::string_view endpoint, double out_since) {
+void RequestForwarder::include_endpoint(std::string_view endpoint, double out_since) {
   out_.erase(std::string(endpoint));
   auto found = listed_.find(endpoint);
   if (found == listed_.end()) return;
@@ -655,7 +658,8 @@
   return entry;
 }
 
-void RequestForwarder::share(std::map<std::string, double, std::less<>> parts, int place, int sidecars) {
+void RequestForwarder::set_endpoint_shares(std::map<std::string, double, std::less<>> parts, int place,
+                                           int sidecars) {
   parts_ = std::move(parts);
   policy_->on_instance_position({place, sidecars});
   std::vector<ListEntry> notified;
@@ -680,12 +684,12 @@
 // not pass it to and fro.
 void RequestForwarder::note_address(const ListedEndpoint& notified) {
   if (notified.state != ListedState::Ready || notified.address.empty()) return;
-  if (const std::string* has = addresses_.owner(notified.address); has && *has != notified.endpoint) {
+  if (const std::string* has = addresses_.endpoint_at(notified.address); has && *has != notified.endpoint) {
     auto owner = listed_.find(*has);
     bool ready = owner != listed_.end() && owner->second.state == ListedState::Ready;
     if (ready && owner->second.online_since_s > notified.online_since_s) return;
   }
-  for (const std::string& stale : addresses_.note(notified.endpoint, notified.address)) {
+  for (const std::string& stale : addresses_.assign(notified.endpoint, notified.address)) {
     drop_connections(stale);
     if (listed_.contains(stale)) unplaced_.insert(stale);
   }
@@ -717,12 +721,12 @@
     listed.insert(entry.endpoint);
     note_listed(entry, list.addresses[i]);
     if (entry.state != ListedState::Ready) drop_connections(entry.endpoint);
-    if (entry.state == ListedState::Removed) addresses_.forget(entry.endpoint);
+    if (entry.state == ListedState::Removed) addresses_.erase(entry.endpoint);
     else place(listed_.at(entry.endpoint));
   }
   if (list.is_snapshot) {  // what a whole list leaves out is gone without a word
-    for (const std::string& gone : addresses_.missing_from(listed))
-      drop_connections(gone), addresses_.forget(gone), note_gone(gone);
+    for (const std::string& gone : addresses_.not_listed_in(listed))
+      drop_connections(gone), addresses_.erase(gone), note_gone(gone);
   }
   place_the_unplaced();
   std::vector<ListEntry> notified = list.entries;
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -25,15 +25,15 @@
 namespace puffinvane {
 
 // Who makes the decisions: puffinvane's module, or a baseline.
-using PolicyMaker =
+using PolicyFactory =
     std::function<std::unique_ptr<Policy>(double now, Deployment deployment, std::uint64_t seed, Host& host)>;
 
 // How a pool's endpoints are talked to.
 struct ForwarderOptions {
-  bool any_status = false;  // they are servers like any other: their statuses reach the clients
-  std::size_t most_body = HttpReader::kMostBody;
-  std::string pool;      // its name in the log; none: there is but one
-  bool streams = false;  // longer bodies go on in parts
+  bool relay_any_status = false;  // they are servers like any other: their statuses reach the clients
+  std::size_t max_body_bytes = HttpReader::kMostBody;
+  std::string pool_name;       // its name in the log; none: there is but one
+  bool stream_bodies = false;  // longer bodies go on in parts
 };
 
 class RequestForwarder final : public Host,
@@ -43,48 +43,49 @@
                                public ConnectionLimiter::ReclaimableConnections {
  public:
   RequestForwarder(Loop& loop, ConnectionLimiter& limiter, Deployment deployment, std::uint64_t seed,
-                   PolicyMaker make, ForwarderOptions options = {});
+                   PolicyFactory make, ForwarderOptions options = {});
   ~RequestForwarder() override;
 
-  void know(const EndpointList& known);  // the list as it was had last
-  void leave(double gone);               // no request has time beyond that, also none of those in hand
+  void load_cached_list(const EndpointList& known);  // the list as it was had last
+  void begin_shutdown(double gone);  // no request has time beyond that, also none of those in hand
   // Takes no more requests and keeps no connection: those that stand idle, and later those that still carry a
-  // attempt, go to its successors in turn. Once `spent` it may be let go of: nothing calls it any more.
+  // attempt, go to its successors in turn. Once can_be_destroyed() it may be let go of: nothing calls it any
+  // more.
   void retire(const std::vector<RequestForwarder*>& successors);
-  bool spent() const;
+  bool can_be_destroyed() const;
   // What an earlier one's module has learned, and that share of its rates.
-  void inherit(const LearnedState& earlier, double share) {
+  void import_learned_state(const LearnedState& earlier, double share) {
     policy_->import_learned_state(loop_.now(), earlier, share);
   }
-  LearnedState learned() const { return policy_->export_learned_state(); }
+  LearnedState export_learned_state() const { return policy_->export_learned_state(); }
   const Deployment& deployment() const { return deployment_; }
   const RequestClass* find_class(std::string_view name) const;
-  std::size_t number_of(const RequestClass& request_class) const {
+  std::size_t index_of(const RequestClass& request_class) const {
     return std::size_t(&request_class - deployment_.request_classes.data());
   }
-  const Figures& figures() const { return figures_; }
-  std::size_t under_way() const;  // requests taken and not ended
-  std::size_t listed() const { return listed_.size(); }
-  EndpointList listing() const;                  // as it was had last
-  std::int64_t index() const { return index_; }  // of the list
+  const RequestCounters& counters() const { return counters_; }
+  std::size_t active_request_count() const;  // requests taken and not ended
+  std::size_t listed_endpoint_count() const { return listed_.size(); }
+  EndpointList endpoint_list() const;                 // as it was had last
+  std::int64_t list_index() const { return index_; }  // of the list
   // Its part of each endpoint, by who is there: its place among so many.
-  void share(std::map<std::string, double, std::less<>> parts, int place, int sidecars);
-  std::size_t avoided() const;                  // of those
-  bool knows(std::string_view endpoint) const;  // it is listed, or was lately
+  void set_endpoint_shares(std::map<std::string, double, std::less<>> parts, int place, int sidecars);
+  std::size_t avoided_endpoint_count() const;            // of those
+  bool knows_endpoint(std::string_view endpoint) const;  // it is listed, or was lately
   // Nothing new to it, whatever the list says, until it is used again. out_since: when that was ordered.
-  void stop(std::string_view endpoint);
-  void use_again(std::string_view endpoint, double out_since);
+  void exclude_endpoint(std::string_view endpoint);
+  void include_endpoint(std::string_view endpoint, double out_since);
   // A request that ended at the listener for what was wrong with it, before any decision.
-  void turned_away(const RequestClass& request_class) {
-    figures_.note(number_of(request_class), Ended::Failed);
+  void record_invalid_request(const RequestClass& request_class) {
+    counters_.record_outcome(index_of(request_class), RequestOutcome::Failed);
   }
 
-  bool open(std::string_view id) const {
+  bool has_pending_request(std::string_view id) const {
     return requests_.open(id);
   }  // a request with its client's id is in hand
   // prefix: of this forwarder's deployment. time_left: seconds that its client still waits.
-  void take(DownstreamConnection& downstream, HttpMessage message, const RequestClass& request_class,
-            double time_left);
+  void forward(DownstreamConnection& downstream, HttpMessage message, const RequestClass& request_class,
+               double time_left);
 
   void on_endpoint_list(const EndpointList& notified) override;
 
@@ -110,12 +111,12 @@
   void on_more(UpstreamConnection& upstream, BufferChain bytes) override;
   void on_finished(UpstreamConnection& upstream, BufferChain bytes) override;
   void on_cut(UpstreamConnection& upstream) override;
-  void on_sent() override { figures_.note_attempt(); }
+  void on_sent() override { counters_.record_attempt(); }
   Outcome outcome_of(const HttpMessage& answer) const override;
   void on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage answer) override;
   void on_risen(UpstreamConnection& upstream) override;
   void on_idle_end(UpstreamConnection& upstream) override;
-  double oldest_idle() const override { return rising_.empty() ? idle_.oldest() : 0; }
+  double oldest_idle() const override { return rising_.empty() ? idle_.oldest_idle_since() : 0; }
   void drop_oldest_idle() override;
 
   void pass_on(std::unique_ptr<UpstreamConnection> idle, double since);
@@ -123,7 +124,7 @@
                                                 const std::string& endpoint);
   void conclude(RequestId id, int status, const HttpMessage* from, std::string_view more_headers,
                 std::string_view text);
-  DownstreamConnection* end_relay(RequestId id, Ended how);
+  DownstreamConnection* end_relay(RequestId id, RequestOutcome how);
   void keep_or_close(std::unique_ptr<UpstreamConnection> upstream);
   std::unique_ptr<UpstreamConnection> no_longer_busy(const UpstreamConnection& upstream);
   void out_of_patience(RequestId id);
@@ -167,18 +168,18 @@
   std::vector<Successor> successors_;
   std::size_t next_successor_ = 0;
   double last_request_ = 0;
-  Addresses addresses_;
+  EndpointAddresses addresses_;
   std::map<std::string, ListedEndpoint, std::less<>> listed_;  // as discovery says
   std::set<std::string> unplaced_;                    // of those, with no address or one that is another's
   std::set<std::string, std::less<>> out_;            // by order
   std::map<std::string, double, std::less<>> parts_;  // none: the module deals by the numbers given
   std::deque<std::string> lately_;                    // listed no more
   std::int64_t index_ = 0;                            // of the list
-  Figures figures_;
+  RequestCounters counters_;
   PendingRequests requests_;
   IdleConnections<UpstreamConnection> idle_;
   std::map<std::string, std::vector<std::unique_ptr<UpstreamConnection>>> rising_;  // by endpoint; none empty
-  KeptUses kept_uses_;
+  IdleReuseHistory kept_uses_;
   std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>> busy_;
   Alive alive_;
   std::unique_ptr<Policy> policy_;
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -316,33 +316,34 @@
 
 void the_last_used_idle_connection_goes_out_first_and_the_oldest_closes() {
   IdleConnections<int> idle;
-  for (int i = 0; i < 3; ++i) idle.put("a", std::make_unique<int>(i), 10 + i);
-  idle.put("b", std::make_unique<int>(9), 10.5);
-  assert(*idle.take("a") == 2 && !idle.take("c"));
+  for (int i = 0; i < 3; ++i) idle.add("a", std::make_unique<int>(i), 10 + i);
+  idle.add("b", std::make_unique<int>(9), 10.5);
+  assert(*idle.take_most_recent("a") == 2 && !idle.take_most_recent("c"));
   assert(!idle.take_oldest(9) && *idle.take_oldest(11) == 0 && *idle.take_oldest(11) == 9);
   auto one = std::make_unique<int>(5);
   const int& key = *one;
-  idle.put("a", std::move(one), 13);
-  assert(*idle.take("a", key) == 5 && !idle.take("a", key) && idle.count("a") == 1 && idle.count("b") == 0);
+  idle.add("a", std::move(one), 13);
+  assert(*idle.remove("a", key) == 5 && !idle.remove("a", key) && idle.count("a") == 1 &&
+         idle.count("b") == 0);
 }
 
 void kept_connections_are_doubted_by_how_the_last_ones_fared() {
-  KeptUses uses;
-  for (int i = 0; i < 200; ++i) uses.note(0.01, false), uses.note(0.3, i % 6 == 0);
-  assert(uses.doubtful(0.3) && uses.doubtful(5) && !uses.doubtful(0.02));
-  for (int i = 0; i < 64; ++i) uses.note(0.3, i == 5);
-  assert(!uses.doubtful(0.3));  // one alone is chance
+  IdleReuseHistory uses;
+  for (int i = 0; i < 200; ++i) uses.record(0.01, false), uses.record(0.3, i % 6 == 0);
+  assert(uses.likely_stale(0.3) && uses.likely_stale(5) && !uses.likely_stale(0.02));
+  for (int i = 0; i < 64; ++i) uses.record(0.3, i == 5);
+  assert(!uses.likely_stale(0.3));  // one alone is chance
 }
 
 void an_endpoint_that_moved_is_noticed() {
-  Addresses addresses;
+  EndpointAddresses addresses;
   using Names = std::vector<std::string>;
-  assert(addresses.note("a", "1:1").empty() && addresses.note("a", "1:1").empty());
-  assert(addresses.note("a", "2:2") == Names{"a"} && *addresses.find("a") == "2:2" && !addresses.find("b"));
-  assert(addresses.note("b", "2:2") == Names{"a"} && !addresses.find("a"));  // taken over by a new id
-  assert(addresses.note("c", "3:3").empty() && addresses.missing_from({"c", "d"}) == Names{"b"});
-  addresses.forget("b");
-  assert(!addresses.find("b") && addresses.missing_from({}) == Names{"c"});
+  assert(addresses.assign("a", "1:1").empty() && addresses.assign("a", "1:1").empty());
+  assert(addresses.assign("a", "2:2") == Names{"a"} && *addresses.find("a") == "2:2" && !addresses.find("b"));
+  assert(addresses.assign("b", "2:2") == Names{"a"} && !addresses.find("a"));  // taken over by a new id
+  assert(addresses.assign("c", "3:3").empty() && addresses.not_listed_in({"c", "d"}) == Names{"b"});
+  addresses.erase("b");
+  assert(!addresses.find("b") && addresses.not_listed_in({}) == Names{"c"});
 }
 
 void the_loop_keeps_the_order_of_alarms_and_puts_off_what_is_asked_for_soon() {
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -136,7 +136,7 @@
 
 }  // namespace
 
-int run_sidecar(PolicyMaker make) {
+int run_sidecar(PolicyFactory make) {
   const char* level = std::getenv("PUFFINVANE_LOG");
   ProcessLog process_log(STDOUT_FILENO, read_level(level ? level : "info"));
   Log& log = process_log.log();
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -52,7 +52,7 @@
   return list;
 }
 
-Server::Server(Loop& loop, site::Site site, Read read, std::uint64_t seed, PolicyMaker make,
+Server::Server(Loop& loop, site::Site site, Read read, std::uint64_t seed, PolicyFactory make,
                double killed_after)
     : Lifecycle(loop),
       read_(std::move(read)),
@@ -184,7 +184,7 @@
       ForwarderOptions options{true, site.limits.body, pool.name};
       running->forwarder =
           std::make_unique<RequestForwarder>(loop(), limiter_, deployment, chance_(), make_, options);
-      if (gone_) running->forwarder->leave(*gone_);
+      if (gone_) running->forwarder->begin_shutdown(*gone_);
     }
     list(*running, pool, stays);
     Running* placed = pools_.emplace(pool.name, std::move(running)).first->second.get();
@@ -233,7 +233,7 @@
         running.listed = other->listed, running.starts = other->starts;
     }
   }
-  if (!running.listed.empty()) running.forwarder->know(running.known());
+  if (!running.listed.empty()) running.forwarder->load_cached_list(running.known());
   if (joins) running.starts.on_source_changed();
   DiscoveryWatch::Options options;
   options.address = pool.discovery;
@@ -252,7 +252,8 @@
     });
     for (Running* one : fresh) {
       if (site::share_endpoints(one->pool, old->pool))
-        one->forwarder->inherit(old->forwarder->learned(), 1.0 / double(successors));
+        one->forwarder->import_learned_state(old->forwarder->export_learned_state(),
+                                             1.0 / double(successors));
     }
   }
 }
@@ -269,7 +270,8 @@
 }
 
 void Server::look_at_retired() {
-  std::erase_if(retired_, [](const std::unique_ptr<Running>& one) { return one->forwarder->spent(); });
+  std::erase_if(retired_,
+                [](const std::unique_ptr<Running>& one) { return one->forwarder->can_be_destroyed(); });
   if (!retired_.empty())
     loop().at(loop().now() + kLookAtRetired, alive_.guard([this] { look_at_retired(); }));
 }
@@ -291,8 +293,8 @@
 void Server::on_draining(double deadline_s) {
   loop().log().event(Level::Info, "site.leaving").with("site", router_.site().name);
   gone_ = deadline_s;
-  for (auto& [name, running] : pools_) running->forwarder->leave(deadline_s);
-  for (auto& running : retired_) running->forwarder->leave(deadline_s);
+  for (auto& [name, running] : pools_) running->forwarder->begin_shutdown(deadline_s);
+  for (auto& running : retired_) running->forwarder->begin_shutdown(deadline_s);
 }
 
 void Server::stop_listening() {
@@ -360,12 +362,12 @@
   // Clients that know nothing of ids get one: endpoints tell requests apart by it.
   if (ids == 0) request.headers.push_back({std::string(kRequestIdHeader), new_request_id()});
   std::string_view id = request.header(kRequestIdHeader);
-  if (id.empty() || ids > 1 || forwarder.open(id))
+  if (id.empty() || ids > 1 || forwarder.has_pending_request(id))
     return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be new, if it is there\n", true);
   std::optional<double> time_left = time_left_of(request, request_class.client_timeout_s);
   if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
   if (decision.target) request.target = *decision.target;
-  forwarder.take(downstream, std::move(request), request_class, *time_left);
+  forwarder.forward(downstream, std::move(request), request_class, *time_left);
 }
 
 // ---- the program
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -23,7 +23,7 @@
   using Read = std::function<std::optional<site::Site>(std::string& why)>;
 
   // killed_after: seconds from SIGTERM until whoever sent it kills.
-  Server(Loop& loop, site::Site site, Read read, std::uint64_t seed, PolicyMaker make,
+  Server(Loop& loop, site::Site site, Read read, std::uint64_t seed, PolicyFactory make,
          double killed_after = kKillTimeoutSeconds);
   void start() override;
 
@@ -71,7 +71,7 @@
   std::string new_request_id();
 
   Read read_;
-  PolicyMaker make_;
+  PolicyFactory make_;
   pcg64 chance_;
   routing::Router router_;
   std::string version_;
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -22,7 +22,7 @@
 constexpr double kFresh = 0.2;  // a connection younger than that may have its first request on the way
 constexpr std::size_t kBufferShare = 2;  // of the memory: the rest is for the module, GLib and the heap
 
-PolicyMaker watching(const std::optional<Deployment>& shadow, Differences& counted, PolicyMaker make) {
+PolicyFactory watching(const std::optional<Deployment>& shadow, Differences& counted, PolicyFactory make) {
   if (!shadow) return make;
   return [&shadow, &counted, make](double now, Deployment acting, std::uint64_t seed, Host& host) {
     return std::make_unique<ShadowPolicy>(now, std::move(acting), *shadow, seed, host, counted, make);
@@ -30,7 +30,7 @@
 }
 }  // namespace
 
-Sidecar::Sidecar(Loop& loop, Assignment assignment, std::string assigned_in, PolicyMaker make,
+Sidecar::Sidecar(Loop& loop, Assignment assignment, std::string assigned_in, PolicyFactory make,
                  Takeover takeover)
     : Lifecycle(loop),
       assignment_(std::move(assignment)),
@@ -65,7 +65,7 @@
   on_operator_overrides(takeover_.overrides);
   if (takeover_.list && takeover_.list->has_start_times) starts_.import_start_times(*takeover_.list);
   starts_.set_cached_start_times(assignment_.known, started_, {Loop::unix_offset(), {}});
-  forwarder_.know(assignment_.known);
+  forwarder_.load_cached_list(assignment_.known);
   watch_.start();
   open_listeners();
 }
@@ -136,7 +136,7 @@
   loop().log().info() << assignment_.name << " leaves";
   leaving_ = true;
   if (fleet_) has_successor() ? fleet_->let_go() : fleet_->leaving();
-  forwarder_.leave(deadline_s);
+  forwarder_.begin_shutdown(deadline_s);
 }
 
 void Sidecar::on_stopped() {
@@ -147,12 +147,12 @@
 
 void Sidecar::stop(std::string_view endpoint) {
   loop().log().info() << "endpoint " << endpoint << " is excluded";
-  forwarder_.stop(endpoint);
+  forwarder_.exclude_endpoint(endpoint);
 }
 
 void Sidecar::use_again(std::string_view endpoint, double out_since) {
   loop().log().info() << "endpoint " << endpoint << " is included again";
-  forwarder_.use_again(endpoint, out_since);
+  forwarder_.include_endpoint(endpoint, out_since);
 }
 
 void Sidecar::on_override() {
@@ -166,7 +166,7 @@
 }
 
 EndpointList Sidecar::endpoint_list() const {
-  EndpointList list = forwarder_.listing();
+  EndpointList list = forwarder_.endpoint_list();
   starts_.export_start_times(list);
   return list;
 }
@@ -198,20 +198,22 @@
 // Not at each change: what comes in one rumour is cut for once.
 void Sidecar::look_at_shares() {
   loop().at(loop().now() + kShareLook, alive_.guard([this] { look_at_shares(); }));
-  if (leaving_ || (!members_changed_ && shared_list_ == forwarder_.index())) return;
-  EndpointList list = forwarder_.listing();
+  if (leaving_ || (!members_changed_ && shared_list_ == forwarder_.list_index())) return;
+  EndpointList list = forwarder_.endpoint_list();
   members_changed_ = false, shared_list_ = list.index;
   std::vector<fleet::Sharer> endpoints;
   for (const ListEntry& entry : list.entries) {
     if (entry.state == ListedState::Ready) endpoints.push_back({entry.endpoint, entry.weight});
   }
   part_ = fleet_->part(endpoints);
-  if (part_ && !part_->endpoints.empty()) forwarder_.share(part_->endpoints, part_->place, part_->sidecars);
+  if (part_ && !part_->endpoints.empty())
+    forwarder_.set_endpoint_shares(part_->endpoints, part_->place, part_->sidecars);
 }
 
 std::string Sidecar::telemetry() const {
-  return write_telemetry(forwarder_.deployment().request_classes, forwarder_.figures(),
-                         {forwarder_.under_way(), forwarder_.listed(), forwarder_.avoided()},
+  return write_telemetry(forwarder_.deployment().request_classes, forwarder_.counters(),
+                         {forwarder_.active_request_count(), forwarder_.listed_endpoint_count(),
+                          forwarder_.avoided_endpoint_count()},
                          log().dropped_lines()) +
          (fleet_ ? write_telemetry(fleet_->figures()) : "");
 }
@@ -229,12 +231,12 @@
   if (!request_class) return downstream.answer(404, nullptr, "", "no such path prefix\n", true);
   std::string_view id = request.header(kRequestIdHeader);
   std::optional<double> time_left = time_left_of(request, request_class->client_timeout_s);
-  bool named = !id.empty() && request.count(kRequestIdHeader) == 1 && !forwarder_.open(id);
-  if (!named || !time_left) forwarder_.turned_away(*request_class);
+  bool named = !id.empty() && request.count(kRequestIdHeader) == 1 && !forwarder_.has_pending_request(id);
+  if (!named || !time_left) forwarder_.record_invalid_request(*request_class);
   if (!named)
     return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be there, once and new\n", true);
   if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
-  forwarder_.take(downstream, std::move(request), *request_class, *time_left);
+  forwarder_.forward(downstream, std::move(request), *request_class, *time_left);
 }
 
 }  // namespace puffinvane
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -23,7 +23,7 @@
                       fleet::Fleet::Owner {
  public:
   // takeover: from the process that it takes over from, if there is one.
-  Sidecar(Loop& loop, Assignment assignment, std::string assigned_in, PolicyMaker make,
+  Sidecar(Loop& loop, Assignment assignment, std::string assigned_in, PolicyFactory make,
           Takeover takeover = {});
   void start() override;
 
@@ -46,7 +46,7 @@
   void on_stopped() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
 
-  bool knows(std::string_view endpoint) const override { return forwarder_.knows(endpoint); }
+  bool knows(std::string_view endpoint) const override { return forwarder_.knows_endpoint(endpoint); }
   void stop(std::string_view endpoint) override;
   void use_again(std::string_view endpoint, double out_since) override;
   void last_answers(bool on) override { downstream_.last_call(on); }
@@ -62,8 +62,8 @@
     return {operations_.all_out(), operations_.drains_since()};
   }
   void on_operator_overrides(const OperatorOverrides& overrides) override;
-  LearnedState learned_state() const override { return forwarder_.learned(); }
-  void on_learned_state(const LearnedState& part) override { forwarder_.inherit(part, 1); }
+  LearnedState learned_state() const override { return forwarder_.export_learned_state(); }
+  void on_learned_state(const LearnedState& part) override { forwarder_.import_learned_state(part, 1); }
   void on_connection(Ref<GSocket> socket, ConnectionHistory history) override {
     downstream_.take_over(std::move(socket), history == ConnectionHistory::Used);
   }
--- a/tests/integration/crossings.cpp
+++ b/tests/integration/crossings.cpp
@@ -601,7 +601,7 @@
   loop.at(loop.now() + 0.02, [&] {
     for (auto& pool : pools) pool->retire({});
     sleep_for(2.1);
-    for (auto& pool : pools) ended += pool->spent();
+    for (auto& pool : pools) ended += pool->can_be_destroyed();
     pools.clear();
   });
   loop.at(loop.now() + 2.5, [&] { loop.quit(); });
