--- a/src/admin/telemetry.h
+++ b/src/admin/telemetry.h
@@ -8,7 +8,7 @@
 
 #include "puffinvane/policy.h"
 #include "src/fleet/fleet.h"
-#include "src/proxy/figures.h"
+#include "src/proxy/request_counters.h"
 
 namespace puffinvane {
 
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -13,13 +13,13 @@
 
 #include "puffinvane/policy.h"
 #include "src/discovery/discovery_watch.h"
-#include "src/proxy/addresses.h"
 #include "src/proxy/connection_limiter.h"
 #include "src/proxy/downstream_connection.h"
-#include "src/proxy/figures.h"
+#include "src/proxy/endpoint_addresses.h"
 #include "src/proxy/idle_connections.h"
-#include "src/proxy/kept_uses.h"
+#include "src/proxy/idle_reuse_history.h"
 #include "src/proxy/pending_requests.h"
+#include "src/proxy/request_counters.h"
 #include "src/proxy/upstream_connection.h"
 
 namespace puffinvane {
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -12,9 +12,9 @@
 #include "src/http/headers.h"
 #include "src/http/http.h"
 #include "src/net/loop.h"
-#include "src/proxy/addresses.h"
+#include "src/proxy/endpoint_addresses.h"
 #include "src/proxy/idle_connections.h"
-#include "src/proxy/kept_uses.h"
+#include "src/proxy/idle_reuse_history.h"
 #include "src/server/start.h"
 #include "testing/helpers.h"
 
