--- a/include/puffinvane/policy.h
+++ b/include/puffinvane/policy.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "puffinvane/learned.h"
+#include "puffinvane/learned_state.h"
 
 namespace puffinvane {
 
--- a/src/admin/operations.h
+++ b/src/admin/operations.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 
 namespace puffinvane {
 
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/discovery/call_backoff.h"
 #include "src/discovery/call_timeouts.h"
 #include "src/discovery/discovery.h"
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -7,7 +7,7 @@
 #include <pcg_random.hpp>
 #include <set>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/fleet/membership/member.h"
 
 namespace puffinvane::fleet {
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/hot_restart/channel.h"
 #include "src/hot_restart/control_listener.h"
 #include "src/hot_restart/message.h"
--- a/src/hot_restart/message.h
+++ b/src/hot_restart/message.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <variant>
 
-#include "puffinvane/learned.h"
+#include "puffinvane/learned_state.h"
 #include "src/discovery/discovery.h"
 
 namespace puffinvane {
--- a/src/policy/backup_request_policy.h
+++ b/src/policy/backup_request_policy.h
@@ -13,7 +13,7 @@
 #include <optional>
 #include <vector>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/policy/class_priority.h"
 #include "src/policy/completion_rate.h"
 #include "src/policy/concurrency_limit.h"
--- a/src/policy/response_history.h
+++ b/src/policy/response_history.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "puffinvane/learned.h"
+#include "puffinvane/learned_state.h"
 
 namespace puffinvane {
 
--- a/src/proxy/downstream_connection.h
+++ b/src/proxy/downstream_connection.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/http/http.h"
 #include "src/net/tcp_connection.h"
 
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "puffinvane/policy.h"
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/http/http.h"
 #include "src/net/tcp_connection.h"
 
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/net/loop.h"
 
 namespace puffinvane {
