--- a/include/puffinvane/learned_state.h
+++ b/include/puffinvane/learned_state.h
@@ -24,13 +24,13 @@
 // Of an endpoint as a whole, or of one request class at an endpoint.
 struct EndpointStatistics {
   Health health = Health::Removed;
-  double ejection_s = 0;          // how long the next ejection lasts
+  double next_ejection_s = 0;     // how long the next ejection lasts
   double ejected_until_s = 0;     // on the monotonic clock
   double last_response_s = -1e9;  // on the monotonic clock
   int recovery_limit = 0;         // attempts in flight at most while recovering
   std::vector<ResponseSample> samples{};
-  double absent_since_s = 0;         // when it was ejected, 0 while it is in full use
-  std::vector<double> absences_s{};  // how long the last absences lasted
+  double outage_started_s = 0;               // when it was ejected, 0 while it is in full use
+  std::vector<double> outage_durations_s{};  // how long the last absences lasted
   friend bool operator==(const EndpointStatistics&, const EndpointStatistics&) = default;
 };
 
--- a/include/puffinvane/policy.h
+++ b/include/puffinvane/policy.h
@@ -16,17 +16,17 @@
 
 using RequestId = std::uint32_t;
 
-// Safe: may run any number of times. Keyed: endpoints of a Group drop repeats within a window. Unsafe: may
-// run once at most.
+// Safe: may run any number of times. Keyed: endpoints of an IdempotencyScope drop repeats within a window.
+// Unsafe: may run once at most.
 enum class Idempotency { Safe, Keyed, Unsafe };
 // Which endpoints share the memory of idempotency keys.
-enum class Group { All, Zone, Cell };
+enum class IdempotencyScope { All, Zone, Cell };
 
 // Requests of one path prefix.
 struct RequestClass {
   std::string name;
   Idempotency idempotency = Idempotency::Unsafe;
-  Group group = Group::Cell;
+  IdempotencyScope idempotency_scope = IdempotencyScope::Cell;
   double idempotency_window_s = 0;
   double latency_objective_s = 1;
   double priority_weight = 1;  // what serving one counts
@@ -69,9 +69,10 @@
   double connect_timeout_s = 0.25;
   double idle_timeout_s = 10;  // an endpoint closes a connection that has been idle for longer
   bool polls_endpoint_list = false;
-  bool only_draining_binds = false;  // an endpoint listed as removed, or left out, may still be sent to
-  double cross_zone_price = 0;       // share of the served value, if every request went to another zone
-  bool has_key_affinity = false;     // endpoints of a cell do less work for a key that one of them met lately
+  bool may_use_unlisted_endpoints =
+      false;                      // an endpoint listed as removed, or left out, may still be sent to
+  double cross_zone_price = 0;    // share of the served value, if every request went to another zone
+  bool has_key_affinity = false;  // endpoints of a cell do less work for a key that one of them met lately
   std::string zone;
   bool priority_by_work = false;  // priority_weight counts by work, else by request
   double list_poll_interval_s = 10;
@@ -139,7 +140,7 @@
 class Host {
  public:
   virtual ~Host() = default;
-  virtual void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) = 0;
+  virtual void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) = 0;
   virtual void cancel_attempt(RequestId request, int number) = 0;
   // Ends a request that can't have run, or may run again: `retry_after_s` 0 gives no advice.
   virtual void reject_request(RequestId request, double retry_after_s) = 0;
--- a/src/admin/shadow_policy.cpp
+++ b/src/admin/shadow_policy.cpp
@@ -17,9 +17,9 @@
 class ShadowPolicy::Listener final : public Host {
  public:
   Listener(ShadowPolicy& owner, Side side) : owner_(owner), side_(side) {}
-  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override {
+  void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override {
     owner_.attempted(side_, request, endpoint);
-    if (side_ == Acting) owner_.host_.start_attempt(request, endpoint, abandon_at);
+    if (side_ == Acting) owner_.host_.start_attempt(request, endpoint, attempt_deadline);
   }
   void cancel_attempt(RequestId request, int number) override {
     if (side_ == Acting) owner_.host_.cancel_attempt(request, number);
--- a/src/config/language/read.cpp
+++ b/src/config/language/read.cpp
@@ -104,7 +104,8 @@
 constexpr auto kPrefixKeys = std::to_array<Key<RequestClass>>({
     {"kind", Shape::Kind, 0, 0,
      [](RequestClass& it, const Value& v) { it.idempotency = Idempotency(int(v.number)); }, true},
-    {"group", Shape::Group, 0, 0, [](RequestClass& it, const Value& v) { it.group = Group(int(v.number)); }},
+    {"group", Shape::Group, 0, 0,
+     [](RequestClass& it, const Value& v) { it.idempotency_scope = IdempotencyScope(int(v.number)); }},
     {"memory", Shape::Time, 1e-3, kDay,
      [](RequestClass& it, const Value& v) { it.idempotency_window_s = v.number; }},
     {"target-latency", Shape::Time, 1e-3, 60,
--- a/src/config/settings/deployment.cpp
+++ b/src/config/settings/deployment.cpp
@@ -63,9 +63,9 @@
   return word == "by_key" ? Idempotency::Keyed : Idempotency::Unsafe;
 }
 
-Group read_group(const std::string& word) {
-  if (word == "all") return Group::All;
-  return word == "zone" ? Group::Zone : Group::Cell;
+IdempotencyScope read_idempotency_scope(const std::string& word) {
+  if (word == "all") return IdempotencyScope::All;
+  return word == "zone" ? IdempotencyScope::Zone : IdempotencyScope::Cell;
 }
 
 // Whose answers tell how many they serve; a depth alone does not tell how full a fleet is.
@@ -87,7 +87,7 @@
     RequestClass read;
     read.name = option<std::string>(request_class, "Name", "");
     read.idempotency = read_idempotency(option<std::string>(request_class, "Idempotency", "once"));
-    read.group = read_group(option<std::string>(request_class, "Group", "cell"));
+    read.idempotency_scope = read_idempotency_scope(option<std::string>(request_class, "Group", "cell"));
     read.idempotency_window_s = option(request_class, "MemorySpanS", 0.0);
     read.latency_objective_s = option(request_class, "TargetLatencyS", 1.0);
     read.client_timeout_s = option(request_class, "ClientTimeoutS", read.client_timeout_s);
@@ -127,7 +127,7 @@
       std::max(1.0, option(rules, "TipMultiple", deployment.slow_start.overload_multiple));
   deployment.slow_start.overload_window_s =
       std::max(0.1, option(rules, "FallS", deployment.slow_start.overload_window_s));
-  deployment.only_draining_binds = flag(rules, "DrainBindsAlone", false);
+  deployment.may_use_unlisted_endpoints = flag(rules, "DrainBindsAlone", false);
   deployment.list_poll_interval_s = option(rules, "AskWithinS", deployment.list_poll_interval_s);
   deployment.priority_by_work = option<std::string>(options, "CreditBasis", "request") == "work";
   deployment.instance_index = option(options, "Me", 0);
--- a/src/config/site/facts.cpp
+++ b/src/config/site/facts.cpp
@@ -34,8 +34,8 @@
          : idempotency == Idempotency::Keyed ? "tagged"
                                              : "mutating";
 }
-std::string name_of(Group group) {
-  return group == Group::All ? "all" : group == Group::Zone ? "zone" : "cell";
+std::string name_of(IdempotencyScope scope) {
+  return scope == IdempotencyScope::All ? "all" : scope == IdempotencyScope::Zone ? "zone" : "cell";
 }
 std::string text(const Condition& condition) {
   constexpr std::array<const char*, 5> kTests{"is", "is-not", "starts", "present", "absent"};
@@ -99,7 +99,7 @@
     std::string of = "prefix " + request_class.name;
     add(of + "/kind", name_of(request_class.idempotency));
     if (request_class.idempotency == Idempotency::Keyed) {
-      add(of + "/group", name_of(request_class.group));
+      add(of + "/group", name_of(request_class.idempotency_scope));
       add(of + "/memory", seconds(request_class.idempotency_window_s));
     }
     add(of + "/target-latency", seconds(request_class.latency_objective_s));
--- a/src/config/site/site_test.cpp
+++ b/src/config/site/site_test.cpp
@@ -20,8 +20,8 @@
 Site sample() {
   Site site;
   site.listeners = {{"main", "127.0.0.1:1"}, {"second", "127.0.0.1:2"}};
-  site.request_classes = {{"status", Idempotency::Safe, Group::Cell, 0, 0.5, 1, 2},
-                          {"consent", Idempotency::Unsafe, Group::Cell, 0, 0.5, 1, 2}};
+  site.request_classes = {{"status", Idempotency::Safe, IdempotencyScope::Cell, 0, 0.5, 1, 2},
+                          {"consent", Idempotency::Unsafe, IdempotencyScope::Cell, 0, 0.5, 1, 2}};
   site.pools = {{"one", {{"a", "127.0.0.1:3"}, {"b", "127.0.0.1:4"}}}, {"two", {{"c", "127.0.0.1:5"}}}};
   site.tenants = {{"x", 0.25, {}}, {"y", {}, 10}};
   site.limits.requests = 100;
--- a/src/hot_restart/learned_state_decoder.cpp
+++ b/src/hot_restart/learned_state_decoder.cpp
@@ -49,14 +49,14 @@
   const auto& [health, ejection, ejected_until, last_response, recovery_limit, samples] = *fields;
   EndpointStatistics statistics;
   statistics.health = Health(reader.integer(health, {0, int(Health::Recovering)}, "health"));
-  statistics.ejection_s = reader.value<double>(ejection, "ejection");
+  statistics.next_ejection_s = reader.value<double>(ejection, "ejection");
   statistics.ejected_until_s = reader.value<double>(ejected_until, "ejected until");
   statistics.last_response_s = reader.value<double>(last_response, "last response");
   statistics.recovery_limit = reader.integer(recovery_limit, {0, kMaxAttemptsInFlight}, "recovery limit");
   reader.for_each(samples, "samples",
                   [&](Element item) { statistics.samples.push_back(decode_sample(reader, item)); });
   if (statistics.samples.size() > kMaxResponseSamples) reader.fail(DecodeFault::OutOfRange, "samples");
-  if (statistics.ejection_s < 0) reader.fail(DecodeFault::OutOfRange, "ejection");
+  if (statistics.next_ejection_s < 0) reader.fail(DecodeFault::OutOfRange, "ejection");
   return statistics;
 }
 
--- a/src/hot_restart/message_builders.h
+++ b/src/hot_restart/message_builders.h
@@ -75,7 +75,7 @@
 inline EndpointStatistics statistics_of(Health health, int recovery_limit) {
   EndpointStatistics statistics;
   statistics.health = health;
-  statistics.ejection_s = 2;
+  statistics.next_ejection_s = 2;
   statistics.ejected_until_s = 30.5;
   statistics.last_response_s = 29.25;
   statistics.recovery_limit = recovery_limit;
--- a/src/hot_restart/message_encoder.cpp
+++ b/src/hot_restart/message_encoder.cpp
@@ -65,7 +65,7 @@
 json encode_statistics(const EndpointStatistics& statistics) {
   json samples = json::array();
   for (const ResponseSample& sample : statistics.samples) samples.push_back(encode_sample(sample));
-  return json::array({int(statistics.health), statistics.ejection_s, statistics.ejected_until_s,
+  return json::array({int(statistics.health), statistics.next_ejection_s, statistics.ejected_until_s,
                       statistics.last_response_s, statistics.recovery_limit, std::move(samples)});
 }
 
--- a/src/policy/class_priority.cpp
+++ b/src/policy/class_priority.cpp
@@ -89,7 +89,7 @@
     best_ratio = std::max(best_ratio, statistics.success_ratio);
     if (is_class(service)) {
       double weight = deployment_.request_classes[service].priority_weight;
-      double work = deployment_.priority_by_work ? 1 : latencies_.calm_latency_s(service);
+      double work = deployment_.priority_by_work ? 1 : latencies_.unloaded_latency_s(service);
       statistics.value_rate = statistics.success_ratio * weight / work;
     }
   }
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -65,7 +65,7 @@
   }
   double objective_s = inputs_.deployment.request_classes[request.class_index].latency_objective_s;
   objectives += request.capacity_draw / (kObjectiveShare * objective_s);
-  calm += request.capacity_draw / inputs_.latencies.calm_latency_s(request.class_index);
+  calm += request.capacity_draw / inputs_.latencies.unloaded_latency_s(request.class_index);
   // The calm load is bounded by the best rate of a long time: a recent one is lowered by the limit that it
   // sets.
   return objectives < inputs_.completions.recent_per_s() &&
@@ -79,7 +79,7 @@
   request.counts_as_load = true;
   double objective_s = inputs_.deployment.request_classes[request.class_index].latency_objective_s;
   request.load_weight = 1 / (kObjectiveShare * objective_s);
-  request.calm_load_weight = 1 / inputs_.latencies.calm_latency_s(request.class_index);
+  request.calm_load_weight = 1 / inputs_.latencies.unloaded_latency_s(request.class_index);
   add(request, 1);
 }
 
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -36,9 +36,9 @@
   Health health = Health::Removed;
   double next_ejection_s = 0;
   double ejected_until = 0;
-  int recovery_limit = 0;            // attempts in flight at most while recovering
-  double absent_since = 0;           // 0: in full use
-  std::vector<double> absences_s{};  // how long the last absences lasted
+  int recovery_limit = 0;                    // attempts in flight at most while recovering
+  double outage_started_at = 0;              // 0: in full use
+  std::vector<double> outage_durations_s{};  // how long the last absences lasted
 };
 
 // What attempts are sent to: an endpoint as a whole, or one request class at an endpoint.
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -22,12 +22,12 @@
 class CandidateScorer {
  public:
   CandidateScorer(const EndpointSelection::Inputs& inputs, const RequestState& request,
-                  EndpointSelection::Order order, bool weights_are_shares, double now)
+                  EndpointSelection::Strategy strategy, bool weights_are_shares, double now)
       : inputs_(inputs),
         request_(request),
         now_(now),
         weights_are_shares_(weights_are_shares),
-        is_random_(order == EndpointSelection::Order::AtRandom),
+        is_random_(strategy == EndpointSelection::Strategy::AtRandom),
         is_first_attempt_(request.attempts.empty()),
         may_repeat_endpoint_(inputs.retry_safety.may_repeat_endpoint(request)),
         is_unsafe_(inputs.deployment.request_classes[request.class_index].idempotency == Idempotency::Unsafe),
@@ -142,12 +142,12 @@
 
 }  // namespace
 
-std::optional<EndpointIndex> EndpointSelection::select(const RequestState& request, Order order, double now,
-                                                       Random& random) const {
+std::optional<EndpointIndex> EndpointSelection::select(const RequestState& request, Strategy strategy,
+                                                       double now, Random& random) const {
   if (int(request.attempts.size()) >= inputs_.deployment.max_attempts) {
     return std::nullopt;
   }
-  CandidateScorer scorer(inputs_, request, order, weights_are_shares_, now);
+  CandidateScorer scorer(inputs_, request, strategy, weights_are_shares_, now);
   const Subset& subset = inputs_.subset;
   std::optional<EndpointIndex> selected = select_among(subset.members(), inputs_.endpoints, scorer, random);
   if (!selected && subset.members().size() < subset.ring().size()) {
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -17,7 +17,7 @@
 class EndpointSelection {
  public:
   // LowestDepth: for first attempts and retries. AtRandom: for hedges.
-  enum class Order { LowestDepth, AtRandom };
+  enum class Strategy { LowestDepth, AtRandom };
 
   struct Inputs {
     const Deployment& deployment;
@@ -32,7 +32,7 @@
   void on_instance_shares_known() { weights_are_shares_ = true; }
 
   // An endpoint of the subset that may take an attempt of `request` now, or else of the whole ring.
-  std::optional<EndpointIndex> select(const RequestState& request, Order order, double now,
+  std::optional<EndpointIndex> select(const RequestState& request, Strategy strategy, double now,
                                       Random& random) const;
   // Whether a healthy endpoint, open to attempts or not, may get another attempt of `request` in its time.
   bool has_retry_target(const RequestState& request, double now) const;
--- a/src/policy/endpoint_selection_test.cpp
+++ b/src/policy/endpoint_selection_test.cpp
@@ -40,7 +40,7 @@
     }
   }
   std::optional<EndpointIndex> select(const RequestState& request) {
-    return selection_.select(request, EndpointSelection::Order::LowestDepth, kNow, random_);
+    return selection_.select(request, EndpointSelection::Strategy::LowestDepth, kNow, random_);
   }
   static RequestState attempted_at(EndpointIndex index) {
     RequestState request;
--- a/src/policy/endpoint_statistics_behavior_test.cpp
+++ b/src/policy/endpoint_statistics_behavior_test.cpp
@@ -35,13 +35,13 @@
     }
     host.serve_requests(2, 0.02);
   }
-  ASSERT_GT(host.endpoints_with_statistics(), kMostEndpointsInSubset + 4);
+  ASSERT_GT(host.endpoints_with_statistics(), kMaxEndpointsInSubset + 4);
 
   host.run_for(20);  // longer than slow start
   host.serve_requests(100, 0.02);
   host.run_for(65);
 
-  EXPECT_LE(host.endpoints_with_statistics(), kMostEndpointsInSubset);
+  EXPECT_LE(host.endpoints_with_statistics(), kMaxEndpointsInSubset);
 }
 
 }  // namespace
--- a/src/policy/endpoint_table_behavior_test.cpp
+++ b/src/policy/endpoint_table_behavior_test.cpp
@@ -59,9 +59,9 @@
 }
 
 // Settings in which only draining binds: "a1" was listed and then is missing, and served since.
-class EndpointTableWhereOnlyDrainingBinds : public testing::Test {
+class EndpointTableUsingUnlistedEndpoints : public testing::Test {
  protected:
-  EndpointTableWhereOnlyDrainingBinds() {
+  EndpointTableUsingUnlistedEndpoints() {
     host_.list_ready_endpoints(2);
     host_.list_ready_endpoints(1);
     host_.serve_requests(20, 0.01);
@@ -80,14 +80,14 @@
     host_.run_for(20);
   }
 
-  FakeHost host_{deployment().where_only_draining_binds()};
+  FakeHost host_{deployment().using_unlisted_endpoints()};
 };
 
-TEST_F(EndpointTableWhereOnlyDrainingBinds, SendsToMissingEndpoint) {
+TEST_F(EndpointTableUsingUnlistedEndpoints, SendsToMissingEndpoint) {
   EXPECT_GT(host_.attempts_sent_to("a1"), 0);
 }
 
-TEST_F(EndpointTableWhereOnlyDrainingBinds, SendsNothingToMissingEndpointOnceItFails) {
+TEST_F(EndpointTableUsingUnlistedEndpoints, SendsNothingToMissingEndpointOnceItFails) {
   fail_attempt_at_missing_endpoint();
   double failed_at_s = host_.now_s();
 
@@ -96,7 +96,7 @@
   EXPECT_EQ(host_.attempts_sent_to("a1", failed_at_s), 0);
 }
 
-TEST_F(EndpointTableWhereOnlyDrainingBinds, SendsNothingToDrainingEndpoint) {
+TEST_F(EndpointTableUsingUnlistedEndpoints, SendsNothingToDrainingEndpoint) {
   fail_attempt_at_missing_endpoint();
   host_.serve_requests(20, 0.01);
   host_.list_ready_endpoints(2);
@@ -191,7 +191,7 @@
     ListCost cost = cost_of_list(fleet);
 
     EXPECT_EQ(cost.statistics_before_requests, 0U);
-    EXPECT_LE(cost.statistics_after_requests, kMostEndpointsInSubset);
+    EXPECT_LE(cost.statistics_after_requests, kMaxEndpointsInSubset);
   }
 }
 
--- a/src/policy/endpoint_transitions.cpp
+++ b/src/policy/endpoint_transitions.cpp
@@ -58,11 +58,11 @@
 }
 
 void BackupRequestPolicy::widen_recovery(Endpoint&, AttemptTarget& target) {
-  OutlierEjection::widen_recovery(target.ejection);
+  OutlierEjection::raise_recovery_limit(target.ejection);
 }
 
 void BackupRequestPolicy::end_absence(Endpoint&, AttemptTarget& target) {
-  OutlierEjection::end_absence(target.ejection, now_);
+  OutlierEjection::end_outage(target.ejection, now_);
 }
 
 void BackupRequestPolicy::apply_list_entry(const ListEntry& entry) {
@@ -102,7 +102,7 @@
 // there, too.
 void BackupRequestPolicy::on_endpoint_missing(Endpoint& endpoint) {
   endpoint.is_missing = true;
-  if (!deployment_.only_draining_binds || endpoint.health() == Health::Ejected) {
+  if (!deployment_.may_use_unlisted_endpoints || endpoint.health() == Health::Ejected) {
     apply_event_to_all(endpoint, HealthEvent::Unlisted);
   }
 }
@@ -130,14 +130,14 @@
   std::size_t class_index = request.class_index;
   ResponseFacts facts;
   facts.sample.completed_at_s = now_;
-  facts.sample.latency_ratio = end.latency_s / latencies_.calm_latency_s(class_index);
+  facts.sample.latency_ratio = end.latency_s / latencies_.unloaded_latency_s(class_index);
   facts.sample.depth = attempt.depth;
   facts.sample.in_time = end.latency_s <= latencies_.hedge_threshold_s(class_index);
   facts.request_latency_s = now_ - request.attempts.front().sent_at;
   facts.sent_before_stall = attempt.sent_at < awake_since_;
   bool shows_lag = end.outcome == Outcome::Delivered || end.outcome == Outcome::TimedOut;
   if (deployment_.responses_report_load && !facts.sent_before_stall && shows_lag) {
-    fleet_load_.record_lag(now_, end.latency_s / class_of(request).latency_objective_s);
+    fleet_load_.record_latency(now_, end.latency_s / class_of(request).latency_objective_s);
   }
   switch (end.outcome) {
     case Outcome::Delivered: record_delivery(endpoint, request, facts); return;
@@ -158,7 +158,7 @@
   bool is_pending = request.phase != RequestPhase::Finished;
   std::array<AttemptTarget*, 2> targets = {&endpoint.whole, &endpoint.by_class[request.class_index]};
   for (AttemptTarget* target : targets) {
-    target->responses.record_response_time(now_);
+    target->responses.record_response_at(now_);
     if (!facts.sent_before_stall) {
       target->responses.record_sample(facts.sample);
     }
@@ -186,7 +186,7 @@
 void BackupRequestPolicy::record_error(Endpoint& endpoint, const RequestState& request, ResponseFacts facts) {
   facts.sample.failed = true;
   for (AttemptTarget* target : {&endpoint.whole, &endpoint.by_class[request.class_index]}) {
-    target->responses.record_response_time(now_);
+    target->responses.record_response_at(now_);
     target->responses.record_sample(facts.sample);
   }
   // With no tier behind it an error is the endpoint's own, and may be this request class's alone.
--- a/src/policy/fleet_load.cpp
+++ b/src/policy/fleet_load.cpp
@@ -26,13 +26,13 @@
 
 void FleetLoad::record_arrival(double now) { append_bounded(arrivals_, now, kArrivalLimit); }
 
-void FleetLoad::record_lag(double now, double latency_ratio) {
+void FleetLoad::record_latency(double now, double latency_ratio) {
   append_bounded(lags_, {now, latency_ratio}, kLagLimit);
 }
 
 // What is admitted now is what was admitted when the present reports came about, corrected by how far the
 // endpoints are from full.
-void FleetLoad::update(double now, Rates rates) {
+void FleetLoad::update(double now, ReportedRates rates) {
   if (arrivals_.empty()) {
     return;
   }
@@ -71,7 +71,7 @@
   return reports;
 }
 
-double FleetLoad::fullness_by_sojourn(const Reports& reports, Rates rates) const {
+double FleetLoad::fullness_by_sojourn(const Reports& reports, ReportedRates rates) const {
   if (reports.sojourn_times_s.empty()) {
     return 0;
   }
@@ -90,7 +90,7 @@
     // The median counts: an endpoint that is released from a hang reports all that it held.
     double own_s = mean(latencies_.latencies(class_index));
     double sojourn_s = percentile(reports.sojourn_times_s, 0.5) * own_s / (latency_sum_s / latency_count);
-    if (rates == Rates::New) {
+    if (rates == ReportedRates::Unsettled) {
       sojourn_s = std::min(sojourn_s, own_s);
     }
     double objective_s = deployment_.request_classes[class_index].latency_objective_s;
--- a/src/policy/fleet_load.h
+++ b/src/policy/fleet_load.h
@@ -17,11 +17,11 @@
   void record_arrival(double now);
   void clear_arrivals() { arrivals_.clear(); }
   // Latency of an attempt against the latency objective of its request class.
-  void record_lag(double now, double latency_ratio);
+  void record_latency(double now, double latency_ratio);
   // Works admitted_share and requests_per_s out again. `rates_are_new`: too little time has passed since the
   // start for reported rates to show a queue.
-  enum class Rates { New, Known };
-  void update(double now, Rates rates);
+  enum class ReportedRates { Unsettled, Settled };
+  void update(double now, ReportedRates rates);
 
   // The share of requests, by rank, that may be admitted: 0.1 to 1.
   double admitted_share() const { return admitted_share_; }
@@ -44,7 +44,7 @@
   Reports recent_reports(double now) const;
   // Fullness: 1 is as full as the endpoints may be. By the time that requests stay there, and by own
   // responses.
-  double fullness_by_sojourn(const Reports& reports, Rates rates) const;
+  double fullness_by_sojourn(const Reports& reports, ReportedRates rates) const;
   double fullness_by_lag(double now) const;
 
   const Deployment& deployment_;
--- a/src/policy/fleet_load_test.cpp
+++ b/src/policy/fleet_load_test.cpp
@@ -40,7 +40,7 @@
 };
 
 TEST_F(FleetLoadTest, AdmitsAllWithoutRequests) {
-  fleet_load_.update(kNow, FleetLoad::Rates::Known);
+  fleet_load_.update(kNow, FleetLoad::ReportedRates::Settled);
 
   EXPECT_EQ(fleet_load_.admitted_share(), 1);
 }
@@ -49,7 +49,7 @@
   add_report("a", load_with_cpu(1), kNow);
   fleet_load_.record_arrival(kNow);
 
-  fleet_load_.update(kNow, FleetLoad::Rates::Known);
+  fleet_load_.update(kNow, FleetLoad::ReportedRates::Settled);
 
   EXPECT_LT(fleet_load_.admitted_share(), 1);
 }
@@ -58,7 +58,7 @@
   add_report("a", load_with_cpu(1), kNow - 3.1);
   fleet_load_.record_arrival(kNow);
 
-  fleet_load_.update(kNow, FleetLoad::Rates::Known);
+  fleet_load_.update(kNow, FleetLoad::ReportedRates::Settled);
 
   EXPECT_EQ(fleet_load_.admitted_share(), 1);
 }
@@ -68,7 +68,7 @@
   fleet_load_.record_arrival(kNow);
 
   for (int tick = 0; tick < 200; ++tick) {
-    fleet_load_.update(kNow, FleetLoad::Rates::Known);
+    fleet_load_.update(kNow, FleetLoad::ReportedRates::Settled);
   }
 
   EXPECT_EQ(fleet_load_.admitted_share(), 0.1);
@@ -78,10 +78,10 @@
   add_report("a", load_with_cpu(0.1), kNow);
   fleet_load_.record_arrival(kNow);
   for (int response = 0; response < 4; ++response) {
-    fleet_load_.record_lag(kNow, 2);
+    fleet_load_.record_latency(kNow, 2);
   }
 
-  fleet_load_.update(kNow, FleetLoad::Rates::Known);
+  fleet_load_.update(kNow, FleetLoad::ReportedRates::Settled);
 
   EXPECT_LT(fleet_load_.admitted_share(), 1);
 }
@@ -91,7 +91,7 @@
   add_report("b", load_with_cpu(0.5), kNow);
   fleet_load_.record_arrival(kNow);
 
-  fleet_load_.update(kNow, FleetLoad::Rates::Known);
+  fleet_load_.update(kNow, FleetLoad::ReportedRates::Settled);
 
   EXPECT_EQ(fleet_load_.requests_per_s(), 20);
 }
@@ -106,7 +106,7 @@
     fleet_load_.record_arrival(kNow + request * 0.1);
   }
 
-  fleet_load_.update(kNow + 4, FleetLoad::Rates::Known);
+  fleet_load_.update(kNow + 4, FleetLoad::ReportedRates::Settled);
 
   EXPECT_DOUBLE_EQ(fleet_load_.requests_per_s(), 50);
 }
--- a/src/policy/hedging_test.cpp
+++ b/src/policy/hedging_test.cpp
@@ -37,7 +37,7 @@
 }
 
 TEST_F(HedgingTest, BelievesAnEndpointThatRespondedSince) {
-  endpoint_.whole.responses.record_response_time(101);
+  endpoint_.whole.responses.record_response_at(101);
 
   EXPECT_EQ(decide(102.5), Decision::Recheck);
 }
--- a/src/policy/latency_tracker.cpp
+++ b/src/policy/latency_tracker.cpp
@@ -28,7 +28,7 @@
   samples.percentile_s = percentile(samples.latencies, kHedgePercentile);
 }
 
-void LatencyTracker::sample_means() {
+void LatencyTracker::record_means() {
   for (ClassLatencies& samples : classes_) {
     if (samples.latencies.size() >= kMinimumSamples) {
       append_bounded(samples.means, mean(samples.latencies), kMeanLimit);
@@ -44,7 +44,7 @@
   return samples.percentile_s;
 }
 
-double LatencyTracker::calm_latency_s(std::size_t class_index) const {
+double LatencyTracker::unloaded_latency_s(std::size_t class_index) const {
   const ClassLatencies& samples = classes_[class_index];
   if (!samples.means.empty()) {
     return *std::min_element(samples.means.begin(), samples.means.end());
--- a/src/policy/latency_tracker.h
+++ b/src/policy/latency_tracker.h
@@ -19,14 +19,14 @@
   std::size_t class_count() const { return classes_.size(); }
   void record_latency(std::size_t class_index, double latency_s);
   // Keeps the present means; to be called once a second.
-  void sample_means();
+  void record_means();
 
   // The 95th percentile, the threshold of the backup request paper; half of the latency objective while there
   // are too few samples.
   double hedge_threshold_s(std::size_t class_index) const;
   // The lowest mean of the last kMeanLimit seconds: a mean of the last samples alone would follow an
   // overload.
-  double calm_latency_s(std::size_t class_index) const;
+  double unloaded_latency_s(std::size_t class_index) const;
 
   const std::deque<double>& latencies(std::size_t class_index) const {
     return classes_[class_index].latencies;
--- a/src/policy/latency_tracker_test.cpp
+++ b/src/policy/latency_tracker_test.cpp
@@ -41,7 +41,7 @@
 TEST(LatencyTracker, CalmLatencyIsAQuarterOfTheObjectiveWithoutSamples) {
   LatencyTracker latencies(kDeployment);
 
-  EXPECT_EQ(latencies.calm_latency_s(0), 0.5);
+  EXPECT_EQ(latencies.unloaded_latency_s(0), 0.5);
 }
 
 TEST(LatencyTracker, CalmLatencyIsTheLowestMeanKept) {
@@ -49,13 +49,13 @@
   for (int sample = 0; sample < 20; ++sample) {
     latencies.record_latency(0, 0.25);
   }
-  latencies.sample_means();
+  latencies.record_means();
   for (int sample = 0; sample < 128; ++sample) {
     latencies.record_latency(0, 0.75);
   }
-  latencies.sample_means();
+  latencies.record_means();
 
-  EXPECT_EQ(latencies.calm_latency_s(0), 0.25);
+  EXPECT_EQ(latencies.unloaded_latency_s(0), 0.25);
 }
 
 TEST(LatencyTracker, ForgetsACalmMeanAfterFortySeconds) {
@@ -63,16 +63,16 @@
   for (int sample = 0; sample < 20; ++sample) {
     latencies.record_latency(0, 0.25);
   }
-  latencies.sample_means();
+  latencies.record_means();
   for (int sample = 0; sample < 128; ++sample) {
     latencies.record_latency(0, 0.75);
   }
 
   for (int second = 0; second < 40; ++second) {
-    latencies.sample_means();
+    latencies.record_means();
   }
 
-  EXPECT_EQ(latencies.calm_latency_s(0), 0.75);
+  EXPECT_EQ(latencies.unloaded_latency_s(0), 0.75);
 }
 
 TEST(LatencyTracker, RestoresTheThresholdOfExportedSamples) {
@@ -81,7 +81,7 @@
   latencies.restore(1, std::deque<double>(20, 0.3), {0.2});
 
   EXPECT_EQ(latencies.hedge_threshold_s(1), 0.3);
-  EXPECT_EQ(latencies.calm_latency_s(1), 0.2);
+  EXPECT_EQ(latencies.unloaded_latency_s(1), 0.2);
 }
 
 }  // namespace
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -9,23 +9,23 @@
 EndpointStatistics export_target(const AttemptTarget& target) {
   EndpointStatistics statistics;
   statistics.health = target.ejection.health;
-  statistics.ejection_s = target.ejection.next_ejection_s;
+  statistics.next_ejection_s = target.ejection.next_ejection_s;
   statistics.ejected_until_s = target.ejection.ejected_until;
   statistics.last_response_s = target.responses.last_response_at();
   statistics.recovery_limit = target.ejection.recovery_limit;
   statistics.samples = target.responses.samples();
-  statistics.absent_since_s = target.ejection.absent_since;
-  statistics.absences_s = target.ejection.absences_s;
+  statistics.outage_started_s = target.ejection.outage_started_at;
+  statistics.outage_durations_s = target.ejection.outage_durations_s;
   return statistics;
 }
 
 void import_target(AttemptTarget& target, const EndpointStatistics& statistics) {
   target.ejection.health = statistics.health;
-  target.ejection.next_ejection_s = statistics.ejection_s;
+  target.ejection.next_ejection_s = statistics.next_ejection_s;
   target.ejection.ejected_until = statistics.ejected_until_s;
   target.ejection.recovery_limit = statistics.recovery_limit;
-  target.ejection.absent_since = statistics.absent_since_s;
-  target.ejection.absences_s = statistics.absences_s;
+  target.ejection.outage_started_at = statistics.outage_started_s;
+  target.ejection.outage_durations_s = statistics.outage_durations_s;
   target.responses.restore(statistics.samples, statistics.last_response_s);
 }
 
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -37,8 +37,8 @@
 }
 
 void OutlierEjection::begin_ejection(EjectionState& state, double now, Random& random) {
-  if (state.absent_since == 0) {
-    state.absent_since = now;
+  if (state.outage_started_at == 0) {
+    state.outage_started_at = now;
   }
   state.ejected_until = now + state.next_ejection_s * (kJitterFloor + kJitterSpan * random.uniform());
   state.next_ejection_s =
@@ -47,18 +47,18 @@
 
 void OutlierEjection::begin_recovery(EjectionState& state) { state.recovery_limit = 1; }
 
-void OutlierEjection::widen_recovery(EjectionState& state) { state.recovery_limit *= 2; }
+void OutlierEjection::raise_recovery_limit(EjectionState& state) { state.recovery_limit *= 2; }
 
-void OutlierEjection::end_absence(EjectionState& state, double now) {
-  if (state.absent_since > 0) {
-    append_bounded(state.absences_s, now - state.absent_since, kAbsenceLimit);
-    state.absent_since = 0;
+void OutlierEjection::end_outage(EjectionState& state, double now) {
+  if (state.outage_started_at > 0) {
+    append_bounded(state.outage_durations_s, now - state.outage_started_at, kAbsenceLimit);
+    state.outage_started_at = 0;
   }
-  if (state.absences_s.empty()) {
+  if (state.outage_durations_s.empty()) {
     state.next_ejection_s = kFirstEjectionSeconds;
     return;
   }
-  double half_of_absence_s = mean(state.absences_s) / 2;
+  double half_of_absence_s = mean(state.outage_durations_s) / 2;
   state.next_ejection_s = std::clamp(half_of_absence_s, kShortestEjectionSeconds, kLongestEjectionSeconds);
 }
 
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -32,8 +32,8 @@
   // Effects of the transitions.
   static void begin_ejection(EjectionState& state, double now, Random& random);
   static void begin_recovery(EjectionState& state);
-  static void widen_recovery(EjectionState& state);
-  static void end_absence(EjectionState& state, double now);
+  static void raise_recovery_limit(EjectionState& state);
+  static void end_outage(EjectionState& state, double now);
 
   // Whether one more of the listed endpoints may be ejected: as a whole, or for one request class.
   bool may_eject(const Endpoint& endpoint, std::optional<std::size_t> class_index) const;
--- a/src/policy/outlier_ejection_test.cpp
+++ b/src/policy/outlier_ejection_test.cpp
@@ -61,10 +61,10 @@
   EjectionState state;
   OutlierEjection::begin_ejection(state, 100, random);
 
-  OutlierEjection::end_absence(state, 106);
+  OutlierEjection::end_outage(state, 106);
 
   EXPECT_EQ(state.next_ejection_s, 3);
-  EXPECT_EQ(state.absent_since, 0);
+  EXPECT_EQ(state.outage_started_at, 0);
 }
 
 TEST(EjectionState, RecoversWithEightAttemptsInFlight) {
@@ -72,11 +72,11 @@
   OutlierEjection::begin_recovery(state);
   EXPECT_EQ(state.recovery_limit, 1);
 
-  OutlierEjection::widen_recovery(state);
-  OutlierEjection::widen_recovery(state);
+  OutlierEjection::raise_recovery_limit(state);
+  OutlierEjection::raise_recovery_limit(state);
   EXPECT_FALSE(OutlierEjection::has_recovered(state));
 
-  OutlierEjection::widen_recovery(state);
+  OutlierEjection::raise_recovery_limit(state);
   EXPECT_TRUE(OutlierEjection::has_recovered(state));
 }
 
@@ -144,7 +144,7 @@
   AttemptTarget target;
   target.in_flight.insert({100, 1, 0, 0});
 
-  target.responses.record_response_time(100.5);
+  target.responses.record_response_at(100.5);
 
   EXPECT_FALSE(ejection_.is_unresponsive(target, 105, 0));
 }
--- a/src/policy/periodic_work.cpp
+++ b/src/policy/periodic_work.cpp
@@ -28,7 +28,7 @@
 void BackupRequestPolicy::on_tick() {
   start_tick_timer(CompletionRate::kTickSeconds);
   bool is_new = now_ < started_at_ + ConcurrencyLimit::kStartSeconds;
-  fleet_load_.update(now_, is_new ? FleetLoad::Rates::New : FleetLoad::Rates::Known);
+  fleet_load_.update(now_, is_new ? FleetLoad::ReportedRates::Unsettled : FleetLoad::ReportedRates::Settled);
   if (deployment_.tier == 0 && prioritized_sequence_ != queue_.last_sequence()) {
     prioritized_sequence_ = queue_.last_sequence();
     priority_.update(now_);
@@ -41,7 +41,7 @@
   if (now_ >= next_second_at_) {
     next_second_at_ = now_ + 1;
     release_unused_statistics();
-    latencies_.sample_means();
+    latencies_.record_means();
   }
   maintain_endpoints(reselect_subset_if_due());
   // Into the capacity that was released, before the requests past their queue deadline are given up.
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -38,11 +38,11 @@
 
   // How long a request may be queued, in seconds: as long as a calm attempt would still end well within its
   // latency objective.
-  static double timeout_s(double latency_objective_s, double calm_latency_s) {
+  static double timeout_s(double latency_objective_s, double unloaded_latency_s) {
     constexpr double kShortestShare = 0.2;
     constexpr double kLongestShare = 0.8;
     return std::max(kShortestShare * latency_objective_s,
-                    kLongestShare * latency_objective_s - 2 * calm_latency_s);
+                    kLongestShare * latency_objective_s - 2 * unloaded_latency_s);
   }
 
  private:
--- a/src/policy/request_transitions.cpp
+++ b/src/policy/request_transitions.cpp
@@ -31,7 +31,7 @@
 }
 
 void BackupRequestPolicy::send_first_attempt(RequestState& request) {
-  auto target = selection_.select(request, EndpointSelection::Order::LowestDepth, now_, random_);
+  auto target = selection_.select(request, EndpointSelection::Strategy::LowestDepth, now_, random_);
   send(request, *target);
 }
 
@@ -113,7 +113,7 @@
   if (decision != Hedging::Decision::Allowed) {
     return;
   }
-  request.hedge_target = selection_.select(request, EndpointSelection::Order::AtRandom, now_, random_);
+  request.hedge_target = selection_.select(request, EndpointSelection::Strategy::AtRandom, now_, random_);
   if (!request.hedge_target) {
     hedging_.count(Hedging::Outcome::NoEndpoint);
     return;
@@ -139,7 +139,7 @@
     bool is_first = request.attempts.empty();
     bool is_blocked = is_first && class_is_blocked[request.class_index];
     bool is_sendable = has_capacity && !is_blocked &&
-                       selection_.select(request, EndpointSelection::Order::LowestDepth, now_, random_);
+                       selection_.select(request, EndpointSelection::Strategy::LowestDepth, now_, random_);
     if (is_first && has_capacity && !is_sendable) {
       class_is_blocked[request.class_index] = true;
     }
@@ -191,7 +191,7 @@
 
 double BackupRequestPolicy::queue_timeout_s(const RequestState& request) const {
   double objective_s = class_of(request).latency_objective_s;
-  return RequestQueue::timeout_s(objective_s, latencies_.calm_latency_s(request.class_index));
+  return RequestQueue::timeout_s(objective_s, latencies_.unloaded_latency_s(request.class_index));
 }
 
 const RequestClass& BackupRequestPolicy::class_of(const RequestState& request) const {
--- a/src/policy/response_history.h
+++ b/src/policy/response_history.h
@@ -15,7 +15,7 @@
   static constexpr double kSampleMaxAgeSeconds = 15;
 
   void record_sample(const ResponseSample& sample);
-  void record_response_time(double now) { last_response_at_ = now; }
+  void record_response_at(double now) { last_response_at_ = now; }
   void clear_samples();
   // Clears the samples if all of them are older than kSampleMaxAgeSeconds.
   void clear_stale_samples(double now);
--- a/src/policy/retry_safety.cpp
+++ b/src/policy/retry_safety.cpp
@@ -37,10 +37,10 @@
   if (now > window_end - 2 * deployment_.round_trip_s) {
     return false;
   }
-  switch (request_class.group) {
-    case Group::Zone: return earlier.zone == endpoint.zone;
-    case Group::Cell: return earlier.cell == endpoint.cell;
-    case Group::All: return true;
+  switch (request_class.idempotency_scope) {
+    case IdempotencyScope::Zone: return earlier.zone == endpoint.zone;
+    case IdempotencyScope::Cell: return earlier.cell == endpoint.cell;
+    case IdempotencyScope::All: return true;
   }
   return false;
 }
@@ -51,8 +51,8 @@
 
 bool RetrySafety::may_reject(const RequestState& request) const {
   const RequestClass& request_class = class_of(request);
-  bool is_keyed_everywhere =
-      request_class.idempotency == Idempotency::Keyed && request_class.group == Group::All;
+  bool is_keyed_everywhere = request_class.idempotency == Idempotency::Keyed &&
+                             request_class.idempotency_scope == IdempotencyScope::All;
   return is_keyed_everywhere || request_class.idempotency == Idempotency::Safe || cannot_have_run(request);
 }
 
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -93,10 +93,11 @@
 
 // ---- what the module asks for
 
-void RequestForwarder::start_attempt(RequestId id, std::string_view endpoint, double abandon_at) {
+void RequestForwarder::start_attempt(RequestId id, std::string_view endpoint, double attempt_deadline) {
   PendingRequest& request = *requests_.find(id);
   int number = int(request.attempts.size());
-  double now = loop_.now(), ends = abandon_at > 0 ? std::min(abandon_at, request.until) : request.until;
+  double now = loop_.now(),
+         ends = attempt_deadline > 0 ? std::min(attempt_deadline, request.until) : request.until;
   request.attempts.push_back({std::string(endpoint), now, ends});
   loop_.at(ends, alive_.guard([this, id, number] { out_of_time(id, number); }));
   if (client_left(id)) return end_soon(id, number, Outcome::NotSent);
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -89,7 +89,7 @@
   void on_endpoint_list(const EndpointList& notified) override;
 
  private:
-  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
+  void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override;
   void cancel_attempt(RequestId request, int number) override;
   void reject_request(RequestId request, double wait) override;
   void fail_request(RequestId request) override;
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -448,7 +448,7 @@
   // A depth told without what is served says nothing of how full the fleet is.
   assert(read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","served_ps"]})").responses_report_load);
   assert(!read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","cpu_share"]})").responses_report_load);
-  assert(!plain.only_draining_binds);
+  assert(!plain.may_use_unlisted_endpoints);
   for (const char* bad :
        {R"(,"Report":{"Via":"shout"})", R"(,"Report":{"Via":null})", R"(,"Report":{"Via":3})",
         R"(,"Extra":{"WarmKeys":"yes"})", R"(,"Extra":{"WarmKeys":null})", R"(,"Fees":{"CrossZone":-0.1})",
--- a/testing/policy/builders.h
+++ b/testing/policy/builders.h
@@ -96,11 +96,11 @@
  public:
   DeploymentBuilder() {
     settings_.request_classes = {
-        request_class("read", Idempotency::Safe, Group::All),
-        request_class("tagged", Idempotency::Keyed, Group::Zone),
-        request_class("tagged-all", Idempotency::Keyed, Group::All),
-        request_class("tagged-cell", Idempotency::Keyed, Group::Cell),
-        request_class("mutating", Idempotency::Unsafe, Group::All),
+        request_class("read", Idempotency::Safe, IdempotencyScope::All),
+        request_class("tagged", Idempotency::Keyed, IdempotencyScope::Zone),
+        request_class("tagged-all", Idempotency::Keyed, IdempotencyScope::All),
+        request_class("tagged-cell", Idempotency::Keyed, IdempotencyScope::Cell),
+        request_class("mutating", Idempotency::Unsafe, IdempotencyScope::All),
     };
     settings_.request_classes.back().priority_weight = 8;
     settings_.slow_start.initial_share = 0.2;
@@ -162,18 +162,19 @@
     settings_.polls_endpoint_list = true;
     return *this;
   }
-  DeploymentBuilder& where_only_draining_binds() {
-    settings_.only_draining_binds = true;
+  DeploymentBuilder& using_unlisted_endpoints() {
+    settings_.may_use_unlisted_endpoints = true;
     return *this;
   }
   operator Deployment() const { return settings_; }  // NOLINT(google-explicit-constructor): used as settings
 
  private:
-  static RequestClass request_class(std::string name, Idempotency idempotency, Group group) {
+  static RequestClass request_class(std::string name, Idempotency idempotency,
+                                    IdempotencyScope idempotency_scope) {
     RequestClass made;
     made.name = std::move(name);
     made.idempotency = idempotency;
-    made.group = group;
+    made.idempotency_scope = idempotency_scope;
     made.idempotency_window_s = idempotency == Idempotency::Keyed ? 1 : 0;
     made.latency_objective_s = 1;
     made.priority_weight = 1;
--- a/testing/policy/fake_host.h
+++ b/testing/policy/fake_host.h
@@ -45,7 +45,7 @@
   FakeHost& operator=(const FakeHost&) = delete;
 
   // ---- what the policy asks for
-  void start_attempt(RequestId request, std::string_view endpoint, double /*abandon_at*/) override {
+  void start_attempt(RequestId request, std::string_view endpoint, double /*attempt_deadline*/) override {
     EXPECT_FALSE(is_concluded(request)) << "attempt for request " << request << ", which has its answer";
     sent_.push_back({request, std::string(endpoint), attempt_counts_[request]++, now_s_});
   }
--- a/testing/policy/fleet_sizes.h
+++ b/testing/policy/fleet_sizes.h
@@ -14,7 +14,7 @@
 
 inline constexpr FleetSize kSmallFleet{.endpoints = 200, .instances = 56};
 inline constexpr FleetSize kLargestFleet{.endpoints = 3200, .instances = 900};
-inline constexpr std::size_t kMostEndpointsInSubset = 16;  // of one instance of such a fleet
+inline constexpr std::size_t kMaxEndpointsInSubset = 16;  // of one instance of such a fleet
 
 // The settings of an instance in the middle of the fleet.
 inline DeploymentBuilder instance_of(const FleetSize& fleet) {
--- a/tools/simulator_adapter/main.cpp
+++ b/tools/simulator_adapter/main.cpp
@@ -22,8 +22,8 @@
   }
   Policy& policy() { return *policy_; }
 
-  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override {
-    open("CALL_OUT"), add(request), add(endpoint), add(abandon_at), close();
+  void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override {
+    open("CALL_OUT"), add(request), add(endpoint), add(attempt_deadline), close();
   }
   void cancel_attempt(RequestId request, int number) override {
     open("REVOKE"), add(request), add(static_cast<std::uint32_t>(number)), close();
