--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -119,7 +119,7 @@
   std::optional<double> date_offset_s_;  // Unix time less the monotonic clock, by the response's date
   bool has_received_list_ = false;
   bool is_fault_logged_ = false;  // since the last list
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -65,7 +65,7 @@
                       << kBeliefs[std::size_t(state)] << ", " << kPhases[std::size_t(member.phase)];
   // A whole state changes many at once: they are told of once.
   if (std::exchange(notifying_, true)) return;
-  loop_.soon(alive_.guard([this] { notifying_ = false, owner_.on_members(); }));
+  loop_.post(alive_.guard([this] { notifying_ = false, owner_.on_members(); }));
 }
 
 void Fleet::superseded(bool yes, const std::string& by) {
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -64,7 +64,7 @@
   Transport transport_;
   Membership membership_;
   bool notifying_ = false, closed_ = false, met_ = false;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane::fleet
--- a/src/fleet/transport/transport.cpp
+++ b/src/fleet/transport/transport.cpp
@@ -81,7 +81,7 @@
 Transport::~Transport() { close(); }
 
 void Transport::open(const std::string& address) {
-  Ref<GSocketAddress> at = read_address(address);
+  Ref<GSocketAddress> at = parse_address(address);
   if (!at)
     throw std::runtime_error("can't listen for the fleet at '" + address + "': not an address and port");
   GError* raw = nullptr;
@@ -167,7 +167,7 @@
 }
 
 void Transport::send(const std::string& address, const Message& message) {
-  Ref<GSocketAddress> to = read_address(address);
+  Ref<GSocketAddress> to = parse_address(address);
   std::string bytes = encode(message, key_);
   bool fits = socket_ && to && bytes.size() <= kMostDatagram;
   // A buffer that is full loses it, as the network may.
@@ -178,12 +178,12 @@
 }
 
 void Transport::sync(const std::string& address) {
-  if (!socket_ || asked_ >= kMostSessions || loop_.descriptors().left() <= 0) return;
+  if (!socket_ || asked_ >= kMostSessions || loop_.descriptors().available() <= 0) return;
   auto session = std::make_unique<PeerSession>(*this, true);
   if (session->ask(address)) begin(std::move(session));
 }
 
-bool Transport::may_accept() { return answered_ < kMostSessions && loop_.descriptors().left() > 0; }
+bool Transport::may_accept() { return answered_ < kMostSessions && loop_.descriptors().available() > 0; }
 
 void Transport::on_accepted(Ref<GSocket> socket, int, double) {
   auto session = std::make_unique<PeerSession>(*this, false);
@@ -205,7 +205,7 @@
   auto which = sessions_.find(&session);
   if (which == sessions_.end()) return;
   --(session.asks ? asked_ : answered_);
-  loop_.bury(std::move(which->second));
+  loop_.delete_later(std::move(which->second));
   sessions_.erase(which);
 }
 
--- a/src/fleet/transport/transport.h
+++ b/src/fleet/transport/transport.h
@@ -12,7 +12,7 @@
 
 namespace puffinvane::fleet {
 
-class Transport final : Ready, Listener::Owner {
+class Transport final : SocketEventHandler, Listener::Owner {
  public:
   class Owner {
    public:
@@ -57,7 +57,7 @@
   double window_ = 0, spent_ = 0;  // since when, and how long was worked for peers since
   bool paused_ = false;
   Counts counts_;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane::fleet
--- a/src/hot_restart/channel.cpp
+++ b/src/hot_restart/channel.cpp
@@ -79,7 +79,7 @@
   message.msg_iovlen = 1;
   message.msg_control = buffer.bytes.data();
   message.msg_controllen = buffer.bytes.size();
-  const ssize_t size = uninterrupted(
+  const ssize_t size = retry_on_eintr(
       [&] { return recvmsg(g_socket_get_fd(socket), &message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT); });
   if (size < 0 && errno == EAGAIN) return {ReceiveStatus::WouldBlock, {}};
   if (size < 0 && is_temporary(errno)) return {ReceiveStatus::TryLater, {}};
@@ -127,7 +127,7 @@
   message.msg_iov = &content;
   message.msg_iovlen = 1;
   if (attached_socket) attach_socket(message, buffer, attached_socket);
-  const ssize_t size = uninterrupted(
+  const ssize_t size = retry_on_eintr(
       [&] { return sendmsg(g_socket_get_fd(socket_.get()), &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
   if (size >= 0) return WriteStatus::Written;
   if (errno == EAGAIN) return WriteStatus::WouldBlock;
--- a/src/hot_restart/channel.h
+++ b/src/hot_restart/channel.h
@@ -37,7 +37,7 @@
 
 // One end of a control channel. Owned by its Owner; everything runs on the event loop's thread. An error of
 // the socket closes the channel.
-class Channel final : Ready {
+class Channel final : SocketEventHandler {
  public:
   class Owner {
    public:
@@ -77,7 +77,7 @@
   Ref<GSocket> socket_;
   std::deque<std::string> queued_packets_;
   State state_ = State::Open;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/hot_restart/control_listener.h
+++ b/src/hot_restart/control_listener.h
@@ -41,7 +41,7 @@
   Source source_;
   std::uint64_t socket_inode_ = 0;  // of the file that this listener has made; 0: none yet
   int failed_opens_ = 0;            // in a row
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -82,14 +82,14 @@
     apply_successor_event(SuccessorEvent::LearnedStateSent);
     return;
   }
-  loop_.soon(alive_.guard([this] { send_learned_state_packet(); }));
+  loop_.post(alive_.guard([this] { send_learned_state_packet(); }));
 }
 
 void HotRestart::discard_learned_state() { learned_state_.reset(); }
 
 void HotRestart::discard_successor() {
   learned_state_.reset();
-  loop_.bury(std::move(successor_));
+  loop_.delete_later(std::move(successor_));
   update_peer_presence();
   listener_.open();
 }
@@ -144,7 +144,7 @@
     apply_successor_event(SuccessorEvent::Disconnected);
     return;
   }
-  loop_.bury(std::move(predecessor_));
+  loop_.delete_later(std::move(predecessor_));
   update_peer_presence();
 }
 
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -82,7 +82,7 @@
   std::unique_ptr<Channel> successor_;
   SuccessorState successor_state_ = SuccessorState::None;
   std::optional<LearnedStateEncoder> learned_state_;  // set while the successor receives it
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/hot_restart/takeover.cpp
+++ b/src/hot_restart/takeover.cpp
@@ -33,11 +33,11 @@
     return ConnectStatus::NobodyListens;
   }
   const auto size = socklen_t(g_socket_address_get_native_size(address.address()));
-  const int connected = uninterrupted([&] {
+  const int connected = retry_on_eintr([&] {
     return ::connect(g_socket_get_fd(socket.get()), reinterpret_cast<const sockaddr*>(&native), size);
   });
   if (connected == 0 || errno == EISCONN) return ConnectStatus::Connected;
-  return errno == EINTR || is_local_want(errno) ? ConnectStatus::TryLater : ConnectStatus::NobodyListens;
+  return errno == EINTR || is_local_shortage(errno) ? ConnectStatus::TryLater : ConnectStatus::NobodyListens;
 }
 
 // Appends a part to the list that the earlier parts have made.
--- a/src/net/buffers.cpp
+++ b/src/net/buffers.cpp
@@ -11,7 +11,7 @@
     256;  // 4 MiB: a burst's buffers go back to the system, a usual hour's stay
 }
 
-BufferPool::Buffer BufferPool::lend() {
+BufferPool::Buffer BufferPool::acquire() {
   ++lent_;
   if (spare_.empty()) return Buffer(new Block, GiveBack{this});
   Block* block = spare_.back().release();
@@ -46,7 +46,7 @@
 void BufferChain::add(std::string_view bytes) {
   while (!bytes.empty()) {
     std::size_t used = (from_ + size_) % BufferPool::kSize;
-    if (from_ + size_ == buffers_.size() * BufferPool::kSize) buffers_.push_back(pool_->lend()), used = 0;
+    if (from_ + size_ == buffers_.size() * BufferPool::kSize) buffers_.push_back(pool_->acquire()), used = 0;
     std::size_t count = std::min(bytes.size(), BufferPool::kSize - used);
     std::memcpy(buffers_.back()->bytes.data() + used, bytes.data(), count);
     size_ += count;
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -23,9 +23,9 @@
   };
   using Buffer = std::unique_ptr<Block, GiveBack>;
 
-  Buffer lend();
-  std::size_t lent() const { return lent_; }
-  std::size_t spare() const { return spare_.size(); }
+  Buffer acquire();
+  std::size_t in_use() const { return lent_; }
+  std::size_t free_count() const { return spare_.size(); }
 
  private:
   void take_back(Block* block);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -36,14 +36,14 @@
   std::string why = "can't listen at " + std::string(address) + ": Error binding to address " +
                     std::string(address) + ": " + std::strerror(error);
   if (error == EADDRINUSE) throw Listener::InUse(why);
-  if (is_short_of_memory(error) || is_short_of_descriptors(error)) throw Listener::LocalWant(why);
+  if (is_short_of_memory(error) || is_short_of_descriptors(error)) throw Listener::LocalShortage(why);
   throw std::runtime_error(why);
 }
 
 }  // namespace
 
 void Listener::open(std::string_view address, Beside beside) {
-  Ref<GSocketAddress> at = read_address(address);
+  Ref<GSocketAddress> at = parse_address(address);
   if (!at)
     throw std::runtime_error("can't listen at '" + std::string(address) + "': not an address and port");
   GError* raw = nullptr;
@@ -53,7 +53,7 @@
     Error error(raw);
     std::string why = "can't listen at " + std::string(address) + ": " + error->message;
     if (g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_NOT_SUPPORTED)) throw std::runtime_error(why);
-    throw LocalWant(why);
+    throw LocalShortage(why);
   }
   g_socket_set_blocking(socket_.get(), FALSE);
   if (beside == Beside::Another) g_socket_set_option(socket_.get(), SOL_SOCKET, SO_REUSEPORT, 1, nullptr);
@@ -88,7 +88,7 @@
 }
 
 Listener::Accepted Listener::take_one() {
-  const int descriptor = uninterrupted(
+  const int descriptor = retry_on_eintr(
       [this] { return accept4(g_socket_get_fd(socket_.get()), nullptr, nullptr, SOCK_CLOEXEC); });
   if (descriptor < 0) {
     if (errno == EAGAIN) return Accepted::None;
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -32,7 +32,7 @@
   struct InUse : NotNow {  // somebody else listens there
     using NotNow::NotNow;
   };
-  struct LocalWant : NotNow {  // the system has no descriptor or no memory for it
+  struct LocalShortage : NotNow {  // the system has no descriptor or no memory for it
     using NotNow::NotNow;
   };
   void open(std::string_view address, Beside beside = Beside::Nobody);  // throws std::runtime_error
@@ -62,7 +62,7 @@
   Source source_;
   bool closing_ = false;
   std::optional<double> held_since_;  // that somebody has waited for room without a break
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -70,7 +70,7 @@
   return raw(field, nlohmann::json(value).dump());
 }
 
-Level read_level(std::string_view word) {
+Level parse_log_level(std::string_view word) {
   for (int i = 0; i < 4; ++i) {
     if (word == kLevels[i]) return static_cast<Level>(i);
   }
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -81,6 +81,6 @@
   const LogOutput* output_;
 };
 
-Level read_level(std::string_view word);  // an unknown word is Info
+Level parse_log_level(std::string_view word);  // an unknown word is Info
 
 }  // namespace puffinvane
--- a/src/net/log_output.cpp
+++ b/src/net/log_output.cpp
@@ -29,7 +29,7 @@
 int open_without_blocking(int descriptor) {
   if (!is_of_type(descriptor, S_IFIFO)) return descriptor;
   const std::string path = "/proc/self/fd/" + std::to_string(descriptor);
-  const int opened = uninterrupted([&] { return ::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC); });
+  const int opened = retry_on_eintr([&] { return ::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC); });
   return opened >= 0 ? opened : descriptor;
 }
 
@@ -117,13 +117,13 @@
 // A descriptor that blocks is asked first, and given no more than a writable pipe takes at once.
 std::ptrdiff_t LogOutput::write_some(const char* bytes, std::size_t count) const {
   if (is_socket_) {
-    return uninterrupted([&] { return ::send(descriptor_, bytes, count, MSG_DONTWAIT | MSG_NOSIGNAL); });
+    return retry_on_eintr([&] { return ::send(descriptor_, bytes, count, MSG_DONTWAIT | MSG_NOSIGNAL); });
   }
   if (descriptor_ == given_descriptor_ && !is_writable_within(descriptor_, 0)) {
     errno = EAGAIN;
     return -1;
   }
-  return uninterrupted([&] { return ::write(descriptor_, bytes, std::min<std::size_t>(count, PIPE_BUF)); });
+  return retry_on_eintr([&] { return ::write(descriptor_, bytes, std::min<std::size_t>(count, PIPE_BUF)); });
 }
 
 void LogOutput::drop_front() {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -57,7 +57,7 @@
 
 // GLib ends the program where it finds no descriptor for its own: there has to be one first.
 GMainContext* new_context() {
-  int one = patiently([] { return eventfd(0, EFD_CLOEXEC); });
+  int one = retry_on_shortage([] { return eventfd(0, EFD_CLOEXEC); });
   if (one < 0) throw std::runtime_error("no descriptor for the main loop");
   ::close(one);
   GMainContext* context = g_main_context_new();
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-Descriptors::Descriptors(int configured) : limit_(configured) {
+DescriptorBudget::DescriptorBudget(int configured) : limit_(configured) {
   rlimit system{};
   if (getrlimit(RLIMIT_NOFILE, &system) == 0)
     limit_ = int(std::min<rlim_t>(rlim_t(configured), system.rlim_cur));
@@ -79,9 +79,9 @@
       descriptors_(descriptors),
       context_(new_context()),
       loop_(g_main_loop_new(context_, FALSE)),
-      epoll_(patiently([] { return epoll_create1(EPOLL_CLOEXEC); })),
+      epoll_(retry_on_shortage([] { return epoll_create1(EPOLL_CLOEXEC); })),
       alarm_(own_source(&Loop::alarms_due)),
-      next_turn_(own_source(&Loop::soon_due)) {
+      next_turn_(own_source(&Loop::run_posted)) {
   if (epoll_ < 0) throw std::runtime_error("no epoll");
   auto ready = [](gint, GIOCondition, gpointer self) -> gboolean {
     static_cast<Loop*>(self)->sockets_ready();
@@ -96,7 +96,7 @@
 }
 
 Loop::~Loop() {
-  while (!soon_.empty()) std::exchange(soon_, {});
+  while (!posted_.empty()) std::exchange(posted_, {});
   alarm_.reset(), next_turn_.reset(), sockets_.reset();
   ::close(epoll_);
   g_main_loop_unref(loop_);
@@ -177,12 +177,12 @@
   set_alarm();
 }
 
-void Loop::watch(int descriptor, std::uint32_t events, Ready& who) {
+void Loop::watch(int descriptor, std::uint32_t events, SocketEventHandler& handler) {
   if (watched_.size() <= std::size_t(descriptor)) watched_.resize(std::size_t(descriptor) + 1);
   Watched& entry = watched_[std::size_t(descriptor)];
-  if (entry.who == &who && entry.events == events) return;
-  bool known = entry.who != nullptr;
-  entry = {&who, events, known ? entry.turn : ++registrations_};
+  if (entry.handler == &handler && entry.events == events) return;
+  bool known = entry.handler != nullptr;
+  entry = {&handler, events, known ? entry.turn : ++registrations_};
   if (!tell_epoll(descriptor, known)) look_at_untold(descriptor);
 }
 
@@ -207,16 +207,16 @@
 void Loop::look_at_all_untold() {
   for (int descriptor : std::exchange(untold_, {})) {
     const Watched entry = watched_[std::size_t(descriptor)];
-    if (!entry.who || tell_epoll(descriptor, false)) continue;
+    if (!entry.handler || tell_epoll(descriptor, false)) continue;
     look_at_untold(descriptor);
     pollfd one{descriptor, short(entry.events), 0};
-    if (poll(&one, 1, 0) > 0) entry.who->on_ready(std::uint32_t(one.revents));
+    if (poll(&one, 1, 0) > 0) entry.handler->on_ready(std::uint32_t(one.revents));
   }
 }
 
 void Loop::unwatch(int descriptor) {
   if (descriptor < 0 || watched_.size() <= std::size_t(descriptor)) return;
-  if (!std::exchange(watched_[std::size_t(descriptor)], {}).who) return;
+  if (!std::exchange(watched_[std::size_t(descriptor)], {}).handler) return;
   for (int i = 0; i < kMostRemovals; ++i) {
     if (epoll_ctl(epoll_, EPOLL_CTL_DEL, descriptor, nullptr) == 0 || errno == ENOENT) return;
   }
@@ -232,18 +232,18 @@
     auto turn = std::uint32_t(ready[std::size_t(i)].data.u64 >> 32);
     // One handled before it in this turn may have closed it, and opened another by the same number.
     const Watched& entry = watched_[descriptor];
-    if (entry.who && entry.turn == turn) entry.who->on_ready(ready[std::size_t(i)].events);
+    if (entry.handler && entry.turn == turn) entry.handler->on_ready(ready[std::size_t(i)].events);
   }
 }
 
-void Loop::soon(std::function<void()> what) {
-  soon_.push_back(std::move(what));
-  if (soon_.size() == 1) g_source_set_ready_time(next_turn_.get(), 0);
+void Loop::post(std::function<void()> what) {
+  posted_.push_back(std::move(what));
+  if (posted_.size() == 1) g_source_set_ready_time(next_turn_.get(), 0);
 }
 
-void Loop::soon_due() {
+void Loop::run_posted() {
   g_source_set_ready_time(next_turn_.get(), -1);
-  for (auto& what : std::exchange(soon_, {})) what();
+  for (auto& what : std::exchange(posted_, {})) what();
 }
 
 }  // namespace puffinvane
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -14,16 +14,16 @@
 namespace puffinvane {
 
 // Open sockets against the limit. Some stay free for the log, the loop itself and discovery.
-class Descriptors {
+class DescriptorBudget {
  public:
-  explicit Descriptors(int configured);  // what the system allows counts as well, where that is less
+  explicit DescriptorBudget(int configured);  // what the system allows counts as well, where that is less
   void opened() { ++open_; }
   void closed() { --open_; }
   int open() const { return open_; }
-  int left() const { return limit() - open_; }
+  int available() const { return limit() - open_; }
   int limit() const { return shared_ ? limit_ / 2 : limit_; }
   void reserve(int more) { limit_ -= std::min(more, limit_ / 2); }  // for what is never kept out
-  void share(bool on) { shared_ = on; }  // another process holds as many under the same limit
+  void set_shared(bool on) { shared_ = on; }  // another process holds as many under the same limit
 
  private:
   static constexpr int kReserve = 24;
@@ -32,7 +32,7 @@
 };
 
 // What was put off by an object that is gone by then is dropped.
-class Alive {
+class LifetimeToken {
  public:
   std::weak_ptr<int> watch() const { return life_; }
   template <typename What>
@@ -47,9 +47,9 @@
 };
 
 // Told of a socket that it has asked for.
-class Ready {
+class SocketEventHandler {
  public:
-  virtual ~Ready() = default;
+  virtual ~SocketEventHandler() = default;
   virtual void on_ready(std::uint32_t events) = 0;  // EPOLLIN and the like
 };
 
@@ -67,23 +67,23 @@
   static double unix_offset();  // Unix time less this clock
   // For how long this process had no core just now, but for one beat: what is read may have come that long
   // ago.
-  double stalled() const { return std::max(late(), now() < stall_heeded_until_ ? stall_ : 0); }
+  double stall_duration() const { return std::max(late(), now() < stall_heeded_until_ ? stall_ : 0); }
   void at(double when, std::function<void()> what);
-  void soon(std::function<void()> what);  // on the next turn: never within the caller's own call
+  void post(std::function<void()> what);  // on the next turn: never within the caller's own call
   // An object whose own methods may still be running is only let go on the next turn.
   template <typename T>
-  void bury(std::unique_ptr<T> dead) {
-    if (dead) soon([kept = std::shared_ptr<T>(std::move(dead))] {});
+  void delete_later(std::unique_ptr<T> dead) {
+    if (dead) post([kept = std::shared_ptr<T>(std::move(dead))] {});
   }
 
   // Sockets are watched by one epoll that is itself one source of the main loop: GLib goes through all of its
   // sources and descriptors at every turn, which at a thousand connections is most of what a request costs.
-  void watch(int descriptor, std::uint32_t events, Ready& who);  // also to change the events
+  void watch(int descriptor, std::uint32_t events, SocketEventHandler& handler);  // also to change the events
   void unwatch(int descriptor);
 
   GMainContext* context() const { return context_; }
   BufferPool& pool() { return pool_; }
-  Descriptors& descriptors() { return descriptors_; }
+  DescriptorBudget& descriptors() { return descriptors_; }
   Log& log() { return log_; }
 
  private:
@@ -93,7 +93,7 @@
     std::function<void()> what;
   };
   struct Watched {
-    Ready* who = nullptr;
+    SocketEventHandler* handler = nullptr;
     std::uint32_t events = 0, turn = 0;
   };
   // By the millisecond that they fall due in. Most are never due: their request has ended long before, and a
@@ -104,7 +104,7 @@
   void beat();
   double late() const { return std::max(0.0, now() - next_alarm_); }
   void report_long_stall(double stall_s);
-  void soon_due();
+  void run_posted();
   void sockets_ready();
   bool tell_epoll(int descriptor, bool known);
   void look_at_untold(int descriptor);
@@ -114,7 +114,7 @@
 
   Log& log_;
   BufferPool pool_;
-  Descriptors descriptors_;
+  DescriptorBudget descriptors_;
   GMainContext* context_;
   GMainLoop* loop_;
   Alarms alarms_;
@@ -123,7 +123,7 @@
   std::vector<Watched> watched_;  // by descriptor
   std::uint32_t registrations_ = 0;
   std::vector<int> untold_;  // descriptors that epoll would not take as they are asked for
-  std::vector<std::function<void()>> soon_;
+  std::vector<std::function<void()>> posted_;
   std::uint64_t turns_ = 0;
   bool put_off_ = false;
   double stall_ = 0, stall_heeded_until_ = 0;
--- a/src/net/process_log.h
+++ b/src/net/process_log.h
@@ -26,7 +26,7 @@
 
 // Writes a log's queued lines as its reader makes room for them, and then logs how many were dropped
 // meanwhile (log.lines_dropped). Owned beside the loop; destroyed before it.
-class LogDrain final : Ready {
+class LogDrain final : SocketEventHandler {
  public:
   LogDrain(Loop& loop, ProcessLog& process_log);
   LogDrain(const LogDrain&) = delete;
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -14,14 +14,14 @@
 
 // Not even begun for want of something on this machine (memory, descriptors, ports, a route): nobody else is
 // to blame for it.
-inline bool is_local_want(int error) {
+inline bool is_local_shortage(int error) {
   return is_short_of_memory(error) || is_short_of_descriptors(error) || error == EADDRNOTAVAIL ||
          error == ENETUNREACH || error == EAGAIN;
 }
 
 // Made again at once where a signal interrupted it; not for ever, or one that always is would hold the loop.
 template <typename Call>
-auto uninterrupted(Call call) {
+auto retry_on_eintr(Call call) {
   constexpr int kMostTries = 16;
   auto result = call();
   for (int i = 1; i < kMostTries && result < 0 && errno == EINTR; ++i) result = call();
@@ -31,14 +31,14 @@
 // At the program's start, when nothing is served yet: made again for some seconds while the system has not
 // what it takes. Below 0, with errno, where that was not long enough or no waiting helps.
 template <typename Call>
-auto patiently(Call call) {
+auto retry_on_shortage(Call call) {
   constexpr gulong kPause = 10'000;        // microseconds
   constexpr gint64 kPatience = 5'000'000;  // microseconds: a process has to be ready within ten seconds
   const gint64 until = g_get_monotonic_time() + kPatience;
-  auto result = uninterrupted(call);
-  while (result < 0 && (is_local_want(errno) || errno == EINTR) && g_get_monotonic_time() < until) {
+  auto result = retry_on_eintr(call);
+  while (result < 0 && (is_local_shortage(errno) || errno == EINTR) && g_get_monotonic_time() < until) {
     g_usleep(kPause);
-    result = uninterrupted(call);
+    result = retry_on_eintr(call);
   }
   return result;
 }
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-Ref<GSocketAddress> read_address(std::string_view address) {
+Ref<GSocketAddress> parse_address(std::string_view address) {
   std::size_t colon = address.rfind(':');
   if (colon == std::string_view::npos) return {};
   std::string_view host = address.substr(0, colon), digits = address.substr(colon + 1);
@@ -46,7 +46,7 @@
 }
 
 TcpConnection::ConnectStart TcpConnection::connect(std::string_view address) {
-  Ref<GSocketAddress> to = read_address(address);
+  Ref<GSocketAddress> to = parse_address(address);
   sockaddr_storage native{};
   if (!to || !g_socket_address_to_native(to.get(), &native, sizeof native, nullptr))
     return ConnectStart::Refused;
@@ -55,16 +55,16 @@
       g_socket_new(g_socket_address_get_family(to.get()), G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, &raw));
   Error error(raw);
   bool unknown = g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_NOT_SUPPORTED);  // such addresses, here
-  if (!socket_) return unknown ? ConnectStart::Refused : ConnectStart::LocalWant;
+  if (!socket_) return unknown ? ConnectStart::Refused : ConnectStart::LocalShortage;
   prepare();
-  int begun = uninterrupted([&] {
+  int begun = retry_on_eintr([&] {
     return ::connect(g_socket_get_fd(socket_.get()), reinterpret_cast<const sockaddr*>(&native),
                      socklen_t(g_socket_address_get_native_size(to.get())));
   });
   // Interrupted, it goes on: asked again it says that it does, or that it is done.
   if (begun < 0 && errno != EINPROGRESS && errno != EALREADY && errno != EISCONN) {
     ConnectStart failed =
-        is_local_want(errno) || errno == EINTR ? ConnectStart::LocalWant : ConnectStart::Refused;
+        is_local_shortage(errno) || errno == EINTR ? ConnectStart::LocalShortage : ConnectStart::Refused;
     close();
     return failed;
   }
@@ -76,7 +76,7 @@
 void TcpConnection::adopt(Ref<GSocket> socket) {
   socket_ = std::move(socket);
   prepare();
-  read(true);
+  set_reading(true);
 }
 
 void TcpConnection::want(bool in, bool out) {
@@ -102,17 +102,17 @@
   }
 }
 
-bool TcpConnection::quiet() const {
+bool TcpConnection::has_nothing_to_read() const {
   if (!socket_) return false;
   pollfd one{g_socket_get_fd(socket_.get()), POLLIN, 0};
   return poll(&one, 1, 0) == 0;  // where that can't be told, something may have come
 }
 
-bool TcpConnection::over() const {
-  if (!socket_ || quiet()) return false;
+bool TcpConnection::has_ended() const {
+  if (!socket_ || has_nothing_to_read()) return false;
   int descriptor = g_socket_get_fd(socket_.get());
   char next;
-  ssize_t count = uninterrupted([&] { return recv(descriptor, &next, 1, MSG_PEEK | MSG_DONTWAIT); });
+  ssize_t count = retry_on_eintr([&] { return recv(descriptor, &next, 1, MSG_PEEK | MSG_DONTWAIT); });
   bool unknown = count < 0 && (errno == EAGAIN || errno == EINTR || is_short_of_memory(errno));
   if (count == 0 || (count < 0 && !unknown)) return true;
   // Bytes lie before it.
@@ -120,23 +120,23 @@
   return count > 0 && poll(&end, 1, 0) > 0 && (end.revents & (POLLRDHUP | POLLHUP | POLLERR));
 }
 
-bool TcpConnection::crowded() const {
+bool TcpConnection::input_may_hide_end() const {
   // Less leaves the system room for all that the far end has under way, whatever its buffers are.
   constexpr std::size_t kMuch = 4096;
-  if (!socket_ || quiet()) return false;
+  if (!socket_ || has_nothing_to_read()) return false;
   char next[kMuch];
   ssize_t count = recv(g_socket_get_fd(socket_.get()), next, sizeof next, MSG_PEEK | MSG_DONTWAIT);
   return count == ssize_t(sizeof next);
 }
 
 bool TcpConnection::read_into(BufferChain& into) {
-  BufferPool::Buffer buffer = loop_.pool().lend();
+  BufferPool::Buffer buffer = loop_.pool().acquire();
   ssize_t count = recv(g_socket_get_fd(socket_.get()), buffer->bytes.data(), BufferPool::kSize, MSG_DONTWAIT);
   if (count > 0) into.add({buffer->bytes.data(), std::size_t(count)});
   return count > 0;
 }
 
-void TcpConnection::read(bool wanted) {
+void TcpConnection::set_reading(bool wanted) {
   if (socket_ && wanted != wants_in_) want(wanted, wants_out_);
 }
 
@@ -149,7 +149,7 @@
 void TcpConnection::flush() {
   while (!out_.empty() && !broken_) {
     std::string_view part = out_.front();
-    ssize_t sent = uninterrupted([&] {
+    ssize_t sent = retry_on_eintr([&] {
       return ::send(g_socket_get_fd(socket_.get()), part.data(), part.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     });
     if (sent >= 0) {
@@ -183,14 +183,14 @@
 // reports the end. Where it reports none, as the far end lives on, nothing more can come of it all the same.
 void TcpConnection::break_off() {
   broken_ = true;
-  read(true);
+  set_reading(true);
   end_once_read();
 }
 
 void TcpConnection::end_once_read() {
   loop_.at(loop_.now() + kReadOutLook, alive_.guard([this] {
     if (!socket_ || !broken_) return;
-    if (!quiet()) return end_once_read();
+    if (!has_nothing_to_read()) return end_once_read();
     want(false, false);
     owner_.on_ended(End::Broken);
   }));
@@ -201,8 +201,8 @@
     connecting_ = false;
     want(wants_in_, false);
     if (int error = connect_result(g_socket_get_fd(socket_.get())))
-      return owner_.on_ended(is_short_of_memory(error) ? End::LocalWant : End::Broken);
-    read(true);
+      return owner_.on_ended(is_short_of_memory(error) ? End::LocalShortage : End::Broken);
+    set_reading(true);
     return owner_.on_connected();
   }
   if (!out_.empty()) flush();
@@ -216,8 +216,8 @@
 }
 
 bool TcpConnection::receive() {
-  BufferPool::Buffer buffer = loop_.pool().lend();
-  ssize_t count = uninterrupted([&] {
+  BufferPool::Buffer buffer = loop_.pool().acquire();
+  ssize_t count = retry_on_eintr([&] {
     return ::recv(g_socket_get_fd(socket_.get()), buffer->bytes.data(), BufferPool::kSize, MSG_DONTWAIT);
   });
   if (count > 0) {
@@ -234,7 +234,7 @@
   return false;
 }
 
-void TcpConnection::finish_sending() {
+void TcpConnection::shutdown_write() {
   if (socket_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
 }
 
@@ -258,7 +258,7 @@
   int undelivered_bytes = 0;
   const int descriptor = g_socket_get_fd(socket_.get());
   if (ioctl(descriptor, SIOCOUTQ, &undelivered_bytes) != 0 || undelivered_bytes == 0) return;
-  BufferPool::Buffer buffer = loop_.pool().lend();
+  BufferPool::Buffer buffer = loop_.pool().acquire();
   for (int i = 0; i < kMostReads; ++i) {
     if (::recv(descriptor, buffer->bytes.data(), BufferPool::kSize, MSG_DONTWAIT) <= 0) return;
   }
--- a/src/net/tcp_connection.h
+++ b/src/net/tcp_connection.h
@@ -8,15 +8,15 @@
 
 namespace puffinvane {
 
-Ref<GSocketAddress> read_address(std::string_view address);  // "127.0.0.1:5000"; none if it is not one
+Ref<GSocketAddress> parse_address(std::string_view address);  // "127.0.0.1:5000"; none if it is not one
 
-class TcpConnection final : Ready {
+class TcpConnection final : SocketEventHandler {
  public:
-  // Closed: the far end said that no more comes; LocalWant: it never came up, and nobody else is to blame;
-  // Broken: anything else.
-  enum class End { Closed, Broken, LocalWant };
+  // Closed: the far end said that no more comes; LocalShortage: it never came up, and nobody else is to
+  // blame; Broken: anything else.
+  enum class End { Closed, Broken, LocalShortage };
   // What came of asking for a connection. Refused: also where the address is none.
-  enum class ConnectStart { Begun, Refused, LocalWant };
+  enum class ConnectStart { Begun, Refused, LocalShortage };
   class Owner {
    public:
     virtual ~Owner() = default;
@@ -34,26 +34,28 @@
   ConnectStart connect(std::string_view address);
   void adopt(Ref<GSocket> socket);
   void send(BufferChain bytes);
-  bool written() const { return out_.empty(); }
-  std::size_t unsent() const { return out_.size(); }
-  bool reads() const { return wants_in_; }
+  bool is_all_written() const { return out_.empty(); }
+  std::size_t unsent_bytes() const { return out_.size(); }
+  bool is_reading() const { return wants_in_; }
   // The system has no memory for what it is to send; it is tried again soon.
-  bool held_up() const { return paused_ && !out_.empty(); }
+  bool waits_for_memory() const { return paused_ && !out_.empty(); }
   GSocket* socket() const { return socket_.get(); }
-  bool quiet() const;  // nothing has come that was not read, not even its end
+  bool has_nothing_to_read() const;  // nothing has come that was not read, not even its end
   // Its end or a reset has come, read or not: as far as the system tells that before what lies ahead of it.
-  bool over() const;
+  bool has_ended() const;
   // So much lies unread that the far end may hold more, and its own end behind that, which 'over' can't see.
-  bool crowded() const;
+  bool input_may_hide_end() const;
   // Reads what has come, a buffer at most, without a word to the owner; false: there was nothing.
   bool read_into(BufferChain& into);
   // What was sent is delivered after a close too, whatever the far end has sent on: a close over unread bytes
   // resets the connection, and the system drops what the far end has not read yet.
   void deliver_after_close() { delivers_after_close_ = true; }
-  void heed_end() { heeds_end_ = true; }  // also while it is not read from; nothing more is read then
-  void read(bool wanted);
-  void finish_sending();
-  void hurry() { reads_at_once_ = kHurried; }  // what comes is only to be got over with
+  void report_end_while_paused() {
+    heeds_end_ = true;
+  }  // also while it is not read from; nothing more is read then
+  void set_reading(bool wanted);
+  void shutdown_write();
+  void read_in_bulk() { reads_at_once_ = kHurried; }  // what comes is only to be got over with
   void close();
   void reset();            // so that the far end can tell that what it has is not all
   Ref<GSocket> release();  // the socket as it is, open: somebody else's from now on
@@ -84,7 +86,7 @@
   bool wants_in_ = false, wants_out_ = false, connecting_ = false, broken_ = false, heeds_end_ = false;
   bool paused_ = false, delivers_after_close_ = false;
   double pause_ = kFirstPause;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/connection_limiter.h
+++ b/src/proxy/connection_limiter.h
@@ -31,21 +31,21 @@
   std::size_t places_for_downstream() const { return std::size_t(loop_.descriptors().limit() / 2); }
   bool room_for_downstream(std::size_t clients) {
     return clients < places_for_downstream() &&
-           loop_.pool().lent() * BufferPool::kSize < most_bytes_ / (shared_ ? 2 : 1) && room_for_attempt();
+           loop_.pool().in_use() * BufferPool::kSize < most_bytes_ / (shared_ ? 2 : 1) && room_for_attempt();
   }
   // Another process lives under the same limits: each keeps to half.
   void share(bool on) {
-    loop_.descriptors().share(shared_ = on);
+    loop_.descriptors().set_shared(shared_ = on);
     room_for_attempt();
   }
   // Of a request's body, before it goes on in parts.
   std::size_t most_held() const {
     std::size_t most = most_bytes_ / (shared_ ? 2 : 1);
-    bool scarce = loop_.pool().lent() * BufferPool::kSize > most / 2;
+    bool scarce = loop_.pool().in_use() * BufferPool::kSize > most / 2;
     return scarce ? HttpReader::kMostBody : std::max(HttpReader::kMostBody, most / 8);
   }
   bool room_for_attempt() {
-    while (loop_.descriptors().left() <= 0) {
+    while (loop_.descriptors().available() <= 0) {
       auto oldest =
           std::min_element(reclaimable_.begin(), reclaimable_.end(),
                            [](const ReclaimableConnections* one, const ReclaimableConnections* other) {
--- a/src/proxy/downstream_connection.cpp
+++ b/src/proxy/downstream_connection.cpp
@@ -68,7 +68,8 @@
       used_(loop.now()),
       heard_(used_),
       came_(used_ - waited) {
-  tcp_.heed_end();  // its leaving counts in every state, also while what it sends ahead is left unread
+  tcp_.report_end_while_paused();  // its leaving counts in every state, also while what it sends ahead is
+                                   // left unread
   tcp_.deliver_after_close();
   tcp_.adopt(std::move(socket));
 }
@@ -96,7 +97,7 @@
 // By its pace, not by its start alone: a byte now and then would else hold its place for ever.
 bool DownstreamConnection::slow(double now) const {
   if (!reader_.in_body()) return now - used_ > kHalfHead;
-  if (!tcp_.reads()) return false;  // it is we who don't read
+  if (!tcp_.is_reading()) return false;  // it is we who don't read
   return now - heard_ > kHalf || now - used_ > kHalfHead + kHalf + double(reader_.body_so_far()) / kPace;
 }
 
@@ -109,7 +110,7 @@
   note_arrival();
   unread_.add(bytes);
   if (unread_.size() > kAhead && state_ != State::Reading && state_ != State::Uploading) {
-    tcp_.read(false);
+    tcp_.set_reading(false);
     paused_ = true;
   }
   take_in();
@@ -122,17 +123,17 @@
 void DownstreamConnection::note_arrival() {
   bool entered = !asked_ && !reader_.started() && loop_.now() - used_ < kRead;
   bool behind = !unread_.empty() || std::exchange(paused_, false);
-  if (!entered && !behind) came_ = loop_.now() - loop_.stalled();
+  if (!entered && !behind) came_ = loop_.now() - loop_.stall_duration();
 }
 
 bool DownstreamConnection::gone() {
   if (state_ == State::Waiting) read_ahead();
-  return tcp_.over();
+  return tcp_.has_ended();
 }
 
 void DownstreamConnection::read_ahead() {
   const std::size_t most = std::min(kMostAhead, owner_.most_held());
-  while (unread_.size() < most && tcp_.crowded()) {
+  while (unread_.size() < most && tcp_.input_may_hide_end()) {
     note_arrival();
     if (!tcp_.read_into(unread_)) return;
   }
@@ -170,9 +171,10 @@
 
 void DownstreamConnection::hold_back(bool on) {
   double now = loop_.now();
-  if (on && tcp_.reads()) held_since_ = now;
-  if (!on && !tcp_.reads()) used_ += now - held_since_, heard_ = now;  // it was not the client that paused
-  tcp_.read(!on);
+  if (on && tcp_.is_reading()) held_since_ = now;
+  if (!on && !tcp_.is_reading())
+    used_ += now - held_since_, heard_ = now;  // it was not the client that paused
+  tcp_.set_reading(!on);
 }
 
 void DownstreamConnection::hand_over_rest() {
@@ -210,7 +212,7 @@
   BufferChain out(loop_.pool());
   if (chunks_) write_last_chunk(out);
   tcp_.send(std::move(out));
-  if (tcp_.written()) turn(Input::Written);
+  if (tcp_.is_all_written()) turn(Input::Written);
 }
 
 void DownstreamConnection::drained() {
@@ -244,7 +246,7 @@
   BufferChain out(loop_.pool());
   write_answer(out, status, nullptr, "", "this request can't be read\n", true);
   tcp_.send(std::move(out));
-  if (tcp_.written()) turn(Input::Written);
+  if (tcp_.is_all_written()) turn(Input::Written);
 }
 
 void DownstreamConnection::answer(int status, const HttpMessage* from, std::string_view more_headers,
@@ -258,13 +260,13 @@
   used_ = loop_.now();
   turn(last ? Input::LastAnswer : Input::Answer);
   tcp_.send(std::move(out));
-  if (tcp_.written()) turn(Input::Written);
+  if (tcp_.is_all_written()) turn(Input::Written);
 }
 
 void DownstreamConnection::read_on() {
-  tcp_.read(true);
+  tcp_.set_reading(true);
   // Put off: each of many requests sent ahead would else be answered deeper within the call before.
-  if (!unread_.empty()) loop_.soon(alive_.guard([this] { take_in(); }));
+  if (!unread_.empty()) loop_.post(alive_.guard([this] { take_in(); }));
 }
 
 // Whether the answer in hand is the last for our own reasons. What was sent behind its request has been
@@ -278,15 +280,15 @@
 // Else what comes from here on crosses the end, and is left unread for it to send again elsewhere.
 void DownstreamConnection::close_after(bool its_own_word) {
   reads_out_ = its_own_word;
-  if (!reads_out_) tcp_.read(false);
+  if (!reads_out_) tcp_.set_reading(false);
 }
 
 void DownstreamConnection::linger() {
-  tcp_.finish_sending();
+  tcp_.shutdown_write();
   used_ = heard_ = loop_.now();
   // Closed at once with bytes still unread, the system would reset the connection and with it the answer.
-  if (reads_out_) tcp_.hurry();
-  tcp_.read(reads_out_);
+  if (reads_out_) tcp_.read_in_bulk();
+  tcp_.set_reading(reads_out_);
 }
 
 // Where neither a length nor chunks say so, only a reset tells the client that it has not got all.
--- a/src/proxy/downstream_connection.h
+++ b/src/proxy/downstream_connection.h
@@ -49,13 +49,13 @@
   void more(BufferChain bytes);
   void end_answer();
   void cut_answer() { turn(Input::Cut); }
-  bool behind() const { return tcp_.unsent() > kMostBehind; }  // it does not read as fast as that comes
+  bool behind() const { return tcp_.unsent_bytes() > kMostBehind; }  // it does not read as fast as that comes
   // Of a request handed over before its body was whole.
   bool uploading() const { return state_ == State::Uploading; }
   std::optional<std::size_t> length() const { return reader_.declared(); }
   void hold_back(bool on);
   // For how long it has been held back, if it is: its last byte may have come so long ago.
-  double held_back_for() const { return tcp_.reads() ? 0 : loop_.now() - held_since_; }
+  double held_back_for() const { return tcp_.is_reading() ? 0 : loop_.now() - held_since_; }
   void part() { turn(Input::Ended); }
   // Between requests: says that it sends no more, and closes soon. What crosses that is never read.
   void drop() { turn(Input::Drop); }
@@ -64,9 +64,9 @@
   bool gone();
   // More than that lies unread, and maybe its end. Amid an upload that is its body, without whose last byte
   // nothing begins.
-  bool may_be_gone() const { return state_ == State::Waiting && tcp_.crowded(); }
+  bool may_be_gone() const { return state_ == State::Waiting && tcp_.input_may_hide_end(); }
   // Between requests, with none on its way: closing crosses nothing that was read.
-  bool idle() const { return between() && tcp_.quiet(); }
+  bool idle() const { return between() && tcp_.has_nothing_to_read(); }
   bool asked() const { return asked_; }
   // Its connection, where nothing of a request was read and nothing of an answer is unwritten: what the
   // system holds goes over with it.
@@ -81,7 +81,9 @@
   bool newcomer() const { return state_ == State::Reading && !asked_; }  // has not sent one whole request
   // Ends what has stood for longer than is owed to it: half a request, nothing at all, an answer unread.
   void look(double now);
-  bool quiet() const { return tcp_.quiet(); }  // nothing of what it has sent, nor its end, lies unread
+  bool quiet() const {
+    return tcp_.has_nothing_to_read();
+  }  // nothing of what it has sent, nor its end, lies unread
   double used() const { return used_; }
   double heard() const { return heard_; }           // when its last byte came, or it did
   bool begun() const { return reader_.started(); }  // some of a request has come
@@ -131,7 +133,7 @@
   const int listener_;
   double used_, heard_, held_since_ = 0;
   double came_;  // when the last byte of what is read may have come, at the earliest
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/downstream_connections.cpp
+++ b/src/proxy/downstream_connections.cpp
@@ -73,7 +73,7 @@
   std::unique_ptr<DownstreamConnection> owned = std::move(connections_.extract(&downstream).mapped());
   if (std::optional<DownstreamConnection::OpenRequest> request = std::exchange(downstream.request, {}))
     request->by->on_client_left(request->request);
-  loop_.bury(std::move(owned));
+  loop_.delete_later(std::move(owned));
 }
 
 // Some places are made free ahead of need: a connection that rests is shut first and closed once it was read
--- a/src/proxy/downstream_connections.h
+++ b/src/proxy/downstream_connections.h
@@ -56,7 +56,7 @@
   bool last_call_ = false;
   double longest_wait_ = 6, looked_ = 0;  // looked: for whom to shut
   std::unordered_map<const DownstreamConnection*, std::unique_ptr<DownstreamConnection>> connections_;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -74,7 +74,7 @@
     std::string endpoint = idle->endpoint();
     return successor.forwarder->idle_.put(endpoint, std::move(idle), since);
   }
-  idle->give_up(), loop_.bury(std::move(idle));
+  idle->give_up(), loop_.delete_later(std::move(idle));
 }
 
 bool RequestForwarder::spent() const {
@@ -117,7 +117,7 @@
     }
     // The endpoint may have closed it in this very turn of the loop.
     if (kept->quiet()) return kept;
-    kept->give_up(), loop_.bury(std::move(kept));
+    kept->give_up(), loop_.delete_later(std::move(kept));
   }
   return {};
 }
@@ -159,7 +159,7 @@
 void RequestForwarder::help(UpstreamConnection::AttemptId attempt) {
   PendingRequest* request = requests_.find(attempt.request);
   UpstreamConnection* waiting = request ? request->attempts[std::size_t(attempt.number)].upstream : nullptr;
-  if (!waiting || !waiting->connecting() || retired_ || loop_.descriptors().left() <= 0) return;
+  if (!waiting || !waiting->connecting() || retired_ || loop_.descriptors().available() <= 0) return;
   const std::string endpoint = waiting->endpoint();
   if (auto there = rising_.find(endpoint); there != rising_.end() && there->second.size() >= kMostRising)
     return;
@@ -175,7 +175,7 @@
   auto waits = std::find_if(busy_.begin(), busy_.end(), [&](const auto& one) {
     return one.second->connecting() && one.second->endpoint() == endpoint;
   });
-  if (retired_) return loop_.bury(std::move(risen));
+  if (retired_) return loop_.delete_later(std::move(risen));
   if (waits == busy_.end()) return idle_.put(endpoint, std::move(risen), loop_.now() - kSettled);
   std::unique_ptr<UpstreamConnection> waiting = std::move(busy_.extract(waits).mapped());
   const UpstreamConnection::AttemptId attempt = waiting->attempt_id();
@@ -206,7 +206,7 @@
   if (!downstream) return false;
   if (!downstream->gone())
     return downstream->may_be_gone();  // can't be told: nothing is sent for it meanwhile
-  loop_.soon(alive_.guard([this, id] {
+  loop_.post(alive_.guard([this, id] {
     PendingRequest* left = requests_.find(id);
     if (left && left->downstream) left->downstream->part();
   }));
@@ -262,7 +262,7 @@
                                                                              : Ended::Failed);
   downstream.answer(status, from, more_headers, text, false);
   // Not forgotten here: the module may be in the middle of it, and ask for more cancels.
-  loop_.soon(alive_.guard([this, id] { requests_.forget_if_over(id); }));
+  loop_.post(alive_.guard([this, id] { requests_.forget_if_over(id); }));
 }
 
 // ---- what happens to attempts
@@ -289,7 +289,7 @@
   write_request(out, request.message, address ? *address : attempt.endpoint, write_time_left(left), parts);
   // Last of all: after the clock was read this process may have been held up, and its client left meanwhile.
   if (!request.concluded() && !client_left(id)) return out;
-  loop_.soon(alive_.guard([this, id = id, number = number] { not_sent(id, number); }));
+  loop_.post(alive_.guard([this, id = id, number = number] { not_sent(id, number); }));
   out.clear();
   return out;
 }
@@ -321,7 +321,7 @@
   request.message.body.add(bytes);
   request.coming = !whole;
   if (whole) {
-    const double came = loop_.now() - loop_.stalled();
+    const double came = loop_.now() - loop_.stall_duration();
     request.until = std::min(came + request.time_left, gone_.value_or(kNever));
     loop_.at(request.until - kBeforeEnd, alive_.guard([this, id] { out_of_patience(id); }));
   }
@@ -403,7 +403,7 @@
 
 void RequestForwarder::on_cut(UpstreamConnection& upstream) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, Ended::Failed);
-  loop_.bury(no_longer_busy(upstream));
+  loop_.delete_later(no_longer_busy(upstream));
   downstream->cut_answer();
 }
 
@@ -419,7 +419,7 @@
     auto& there = rising_[upstream->endpoint()];
     if (there.size() < kMostRising) return there.push_back(std::move(upstream));
   }
-  if (!upstream->idle()) return upstream->give_up(), loop_.bury(std::move(upstream));
+  if (!upstream->idle()) return upstream->give_up(), loop_.delete_later(std::move(upstream));
   if (retired_) return pass_on(std::move(upstream), loop_.now());
   std::string endpoint = upstream->endpoint();
   idle_.put(endpoint, std::move(upstream), loop_.now());
@@ -440,7 +440,7 @@
 
 void RequestForwarder::on_idle_end(UpstreamConnection& upstream) {
   std::unique_ptr<UpstreamConnection> risen = no_longer_rising(upstream);
-  loop_.bury(risen ? std::move(risen) : idle_.take(upstream.endpoint(), upstream));
+  loop_.delete_later(risen ? std::move(risen) : idle_.take(upstream.endpoint(), upstream));
 }
 
 void RequestForwarder::out_of_time(RequestId id, int number) {
@@ -454,7 +454,7 @@
 }
 
 void RequestForwarder::end_soon(RequestId id, int number, Outcome outcome) {
-  loop_.soon(alive_.guard([this, id, number, outcome] { ended(id, number, outcome, nullptr); }));
+  loop_.post(alive_.guard([this, id, number, outcome] { ended(id, number, outcome, nullptr); }));
 }
 
 void RequestForwarder::ended(RequestId id, int number, Outcome outcome, HttpMessage* answer) {
@@ -479,7 +479,7 @@
   request.downstream = nullptr;
   if (UpstreamConnection* relay = std::exchange(request.relay, nullptr)) {
     relay->give_up();
-    loop_.bury(no_longer_busy(*relay));
+    loop_.delete_later(no_longer_busy(*relay));
     return requests_.forget_if_over(id);
   }
   policy_->on_request_cancelled(loop_.now(), id);
@@ -497,7 +497,7 @@
                             const RequestClass& request_class, double time_left) {
   // It may have lain unread for all of a stall, at the listener or behind another one; its client has counted
   // on meanwhile. An upload's time begins with its last byte.
-  double lain = downstream.uploading() ? 0 : std::max(loop_.stalled(), downstream.lain());
+  double lain = downstream.uploading() ? 0 : std::max(loop_.stall_duration(), downstream.lain());
   time_left = std::max(0.0, time_left - lain);
   double now = loop_.now();
   if (gone_) time_left = std::clamp(*gone_ - now, 0.0, time_left);
@@ -522,19 +522,19 @@
 void RequestForwarder::drop_oldest_idle() {
   if (!rising_.empty()) return drop_rising(std::string(rising_.begin()->first));
   std::unique_ptr<UpstreamConnection> oldest = idle_.take_oldest(std::numeric_limits<double>::infinity());
-  if (oldest) oldest->give_up(), loop_.bury(std::move(oldest));
+  if (oldest) oldest->give_up(), loop_.delete_later(std::move(oldest));
 }
 
 void RequestForwarder::drop_rising(const std::string& endpoint) {
   auto there = rising_.extract(endpoint);
   if (there.empty()) return;
-  for (auto& one : there.mapped()) one->give_up(), loop_.bury(std::move(one));
+  for (auto& one : there.mapped()) one->give_up(), loop_.delete_later(std::move(one));
 }
 
 void RequestForwarder::drop_connections(const std::string& endpoint) {
   drop_rising(endpoint);
   while (std::unique_ptr<UpstreamConnection> kept = idle_.take(endpoint))
-    kept->give_up(), loop_.bury(std::move(kept));
+    kept->give_up(), loop_.delete_later(std::move(kept));
   // Rule 3: a connect time-out may be longer than the grace, and the request is written at its end.
   std::vector<UpstreamConnection*> coming_up;
   for (auto& [key, upstream] : busy_) {
@@ -550,7 +550,7 @@
   UpstreamConnection::AttemptId attempt_id = upstream.attempt_id();
   requests_.find(attempt_id.request)->attempts[std::size_t(attempt_id.number)].upstream = nullptr;
   upstream.give_up();
-  loop_.bury(std::move(busy_.extract(&upstream).mapped()));
+  loop_.delete_later(std::move(busy_.extract(&upstream).mapped()));
   return attempt_id;
 }
 
@@ -734,7 +734,7 @@
   double now = loop_.now();
   while (std::unique_ptr<UpstreamConnection> old =
              idle_.take_oldest(now - kIdleShare * deployment_.idle_timeout_s))
-    old->give_up(), loop_.bury(std::move(old));
+    old->give_up(), loop_.delete_later(std::move(old));
   loop_.at(now + kSweep, alive_.guard([this] { sweep(); }));
 }
 
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -180,7 +180,7 @@
   std::map<std::string, std::vector<std::unique_ptr<UpstreamConnection>>> rising_;  // by endpoint; none empty
   KeptUses kept_uses_;
   std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>> busy_;
-  Alive alive_;
+  LifetimeToken alive_;
   std::unique_ptr<Policy> policy_;
 };
 
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -69,7 +69,7 @@
 bool UpstreamConnection::connect(std::string_view address, double timeout) {
   TcpConnection::ConnectStart started = tcp_.connect(address);
   if (started == TcpConnection::ConnectStart::Refused) return false;
-  if (started == TcpConnection::ConnectStart::LocalWant)
+  if (started == TcpConnection::ConnectStart::LocalShortage)
     try_later(std::string(address), kFirstTry, loop_.now() + std::min(timeout, kWantPatience));
   timeout_ = timeout;
   loop_.at(loop_.now() + timeout,
@@ -83,7 +83,7 @@
     if (state_ != State::Connecting && state_ != State::Rising) return;
     TcpConnection::ConnectStart started = tcp_.connect(address);
     if (started == TcpConnection::ConnectStart::Refused) return turn(Input::Ended);
-    if (started != TcpConnection::ConnectStart::LocalWant) return;
+    if (started != TcpConnection::ConnectStart::LocalShortage) return;
     if (loop_.now() >= until) return turn(Input::LocalWant);
     try_later(address, 2 * pause, until);
   }));
@@ -111,7 +111,7 @@
 }
 
 void UpstreamConnection::push() {
-  while (state_ == State::Sending && tcp_.written()) {
+  while (state_ == State::Sending && tcp_.is_all_written()) {
     bool whole = false;
     BufferChain next = owner_->on_next(*this, whole);
     if (next.empty()) return whole ? turn(Input::Written) : void();
@@ -152,7 +152,7 @@
   loop_.at(std::max(heard_ + kStopped / 2, loop_.now() + kStopped / 2), alive_.guard([this, of] {
     if (state_ == State::Idle || sent_ != of) return;  // that one came whole
     // Held back by its client it is not the endpoint that stopped.
-    if (!tcp_.reads()) heard_ = loop_.now();
+    if (!tcp_.is_reading()) heard_ = loop_.now();
     if (state_ == State::Awaiting && too_long_to_hold() &&
         owner_->outcome_of(reader_.message()) == Outcome::Delivered)
       turn(Input::Begun);
@@ -164,7 +164,7 @@
 void UpstreamConnection::on_ended(TcpConnection::End end) {
   // An answer that says no length ends with its connection; a reset is no end, and what has come is a part.
   if (end == TcpConnection::End::Closed) reader_.end();
-  if (end == TcpConnection::End::LocalWant) return turn(Input::LocalWant);
+  if (end == TcpConnection::End::LocalShortage) return turn(Input::LocalWant);
   turn(reader_.whole() ? Input::AnsweredLast : Input::Ended);
 }
 
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -45,11 +45,11 @@
   void carry(AttemptId attempt, bool head);  // once up, or at once on an idle connection
   void rise() { turn(Input::Freed); }        // goes on coming up, with nothing to carry
   void push();                               // more of the request's body has come
-  void hold_back(bool on) { tcp_.read(!on), heard_ = loop_.now(); }  // of its answer
+  void hold_back(bool on) { tcp_.set_reading(!on), heard_ = loop_.now(); }  // of its answer
   void give_up() { tcp_.close(), state_ = State::Over; }
   void pass_to(Owner& owner) { owner_ = &owner; }  // only while idle
   void stop() { turn(Input::Stopped); }            // its answer has stopped amid its bytes
-  double silent() const { return tcp_.reads() ? loop_.now() - heard_ : 0; }
+  double silent() const { return tcp_.is_reading() ? loop_.now() - heard_ : 0; }
   bool is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }  // its answer, so far
   // Its answer has gone on for a while, and by less than that many bytes a second.
   bool crawls(double least) const {
@@ -59,10 +59,10 @@
   bool idle() const { return state_ == State::Idle; }
   bool connecting() const { return state_ == State::Connecting; }
   bool rising() const { return state_ == State::Rising; }
-  bool quiet() const { return tcp_.quiet(); }
+  bool quiet() const { return tcp_.has_nothing_to_read(); }
   // What it is to send was not all taken, for want of something on this machine.
   bool held_up() const {
-    return (connecting() && !tcp_.socket()) || (state_ == State::Sending && tcp_.held_up());
+    return (connecting() && !tcp_.socket()) || (state_ == State::Sending && tcp_.waits_for_memory());
   }
   const AttemptId& attempt_id() const { return attempt_id_; }
   const std::string& endpoint() const { return endpoint_; }
@@ -123,7 +123,7 @@
   AttemptId attempt_id_;
   double timeout_ = 0, sent_ = 0, heard_ = 0, answered_since_ = 0, idle_since_ = 0;
   bool kept_ = false, answering_ = false;  // kept: it has carried an attempt before this one
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -123,7 +123,7 @@
   HttpReader chunks(Side::Request, pool);
   chunks.feed("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (int i = 0; i < 17; ++i) chunks.feed("1000\r\n" + std::string(4096, 'x') + "\r\n");
-  assert(chunks.fault() == Fault::BodyTooLarge && pool.lent() <= 5);
+  assert(chunks.fault() == Fault::BodyTooLarge && pool.in_use() <= 5);
   HttpReader most(Side::Request, pool);
   most.feed("POST /a HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + std::string(65536, 'x'));
   assert(most.whole());
@@ -258,14 +258,14 @@
         R"({"index":1,"endpoints":[{"name":"a","status":"active"}]})"})
     assert(!describe(parse_endpoint_list(bad).error()).empty());
   simdjson::dom::parser parser;
-  auto assign = [&](std::string text) { return read_assignment(parser.parse(text)); };
+  auto assign = [&](std::string text) { return read_sidecar_config(parser.parse(text)); };
   std::string settings =
       R"({"PathPrefixes":[{"Name":"read","ClientTimeoutS":2.5}],"Limits":{"ConnectTimeoutS":0.12,)"
       R"("ConnIdleS":10.0},)"
       R"("Rules":{},"RegistryMode":"on_request"})";
   std::string rest = R"("name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2")";
-  Assignment good = assign("{" + rest + R"(,"seed":"8c1f30d27a5be964","limits":{"sockets":64},"settings":)" +
-                           settings + "}");
+  SidecarConfig good = assign(
+      "{" + rest + R"(,"seed":"8c1f30d27a5be964","limits":{"sockets":64},"settings":)" + settings + "}");
   assert(good.seed == 0x8c1f30d27a5be964 && good.descriptors == 64 && good.deployment.idle_timeout_s == 10);
   assert(good.deployment.connect_timeout_s == 0.12 &&
          good.deployment.request_classes[0].client_timeout_s == 2.5);
@@ -274,8 +274,8 @@
        {std::string("[]"), "{" + rest + "}", "{" + rest + R"(,"seed":"xyz","settings":)" + settings + "}",
         "{" + rest + R"(,"seed":"1","settings":{}})", "{" + rest + R"(,"seed":"1"})"})
     assert(!complaint([&] { assign(bad); }).empty());
-  assert(complaint([] { load_assignment("/nowhere"); }).find("/nowhere") == 0);
-  assert(complaint([] { load_assignment(nullptr); }).find("BALANCER_CONFIG") != std::string::npos);
+  assert(complaint([] { load_sidecar_config("/nowhere"); }).find("/nowhere") == 0);
+  assert(complaint([] { load_sidecar_config(nullptr); }).find("BALANCER_CONFIG") != std::string::npos);
 }
 
 void lines_are_held_back_until_they_end() {
@@ -300,18 +300,18 @@
   {
     BufferChain chain(pool);
     chain.add(std::string(40000, 'a') + "end");
-    assert(pool.lent() == 3 && chain.size() == 40003);
+    assert(pool.in_use() == 3 && chain.size() == 40003);
     chain.drop(39999);
-    assert(pool.lent() == 1 && chain.front() == "aend");
+    assert(pool.in_use() == 1 && chain.front() == "aend");
     BufferChain moved(std::move(chain)), copy(pool);
     copy.add(moved), copy.add(moved);
     assert(copy.text() == "aendaend" && chain.empty());
     moved = std::move(copy);
-    assert(moved.size() == 8 && pool.lent() == 1);
+    assert(moved.size() == 8 && pool.in_use() == 1);
   }
-  assert(pool.lent() == 0 && pool.spare() == 3);
-  BufferPool::Buffer again = pool.lend();
-  assert(pool.spare() == 2);
+  assert(pool.in_use() == 0 && pool.free_count() == 3);
+  BufferPool::Buffer again = pool.acquire();
+  assert(pool.free_count() == 2);
 }
 
 void the_last_used_idle_connection_goes_out_first_and_the_oldest_closes() {
@@ -355,12 +355,12 @@
   loop.at(start + 0.01, [&] { order += 'b'; });
   loop.at(start - 1, [&] {
     order += 'a';
-    loop.soon([&] { order += '2'; });
+    loop.post([&] { order += '2'; });
     order += '1';
   });
   {
-    Alive alive;
-    loop.soon(alive.guard([&] { order += 'x'; }));
+    LifetimeToken alive;
+    loop.post(alive.guard([&] { order += 'x'; }));
   }
   loop.run();
   assert(order == "a12bc" && loop.now() >= start + 0.02);
@@ -368,7 +368,7 @@
 
 // Two sockets have something to read in one turn. Whichever is heard first closes the other, whose number a
 // new and silent one takes: what was ready before must not be told of that one.
-struct Heard final : Ready {
+struct Heard final : SocketEventHandler {
   Heard(Loop& loop, int& notified) : loop(loop), notified(notified) {
     assert(socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
   }
@@ -427,8 +427,8 @@
   Log log(out, Level::Warning);
   log.info() << "a " << 1;
   log.warning() << "b " << 2;
-  assert(out.str() == "warning: b 2\n" && read_level("debug") == Level::Debug &&
-         read_level("?") == Level::Info);
+  assert(out.str() == "warning: b 2\n" && parse_log_level("debug") == Level::Debug &&
+         parse_log_level("?") == Level::Info);
 }
 
 // What an operator sets for the move is of use, or the start ends with a word: never a silent default.
@@ -518,7 +518,7 @@
     }
     whole += reader.whole(), refused += reader.fault() != Fault::None;
   }
-  assert(whole > 2000 && refused > 2000 && lists > 500 && pool.lent() == 0);
+  assert(whole > 2000 && refused > 2000 && lists > 500 && pool.in_use() == 0);
 }
 
 }  // namespace
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -73,7 +73,7 @@
 
 void Lifecycle::begin_draining() {
   // SIGKILL counts from when SIGTERM was sent, also if this process was stalled then.
-  const double signalled_at_s = loop_.now() - loop_.stalled();
+  const double signalled_at_s = loop_.now() - loop_.stall_duration();
   const double deadline_s = start_drain_deadline(signalled_at_s);
   const double accept_until_s = signalled_at_s + kAcceptSeconds;
   loop_.at(accept_until_s, [this] { apply_event(Event::AcceptTimeElapsed); });
@@ -84,7 +84,7 @@
 }
 
 void Lifecycle::begin_handing_over() {
-  start_drain_deadline(loop_.now() - loop_.stalled());
+  start_drain_deadline(loop_.now() - loop_.stall_duration());
   stop_accepting();
 }
 
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -38,7 +38,7 @@
 class Signals {
  public:
   Signals(Loop& loop, Lifecycle& lifecycle, const sigset_t& heeded) : lifecycle_(lifecycle) {
-    descriptor_ = patiently([&heeded] { return signalfd(-1, &heeded, SFD_NONBLOCK | SFD_CLOEXEC); });
+    descriptor_ = retry_on_shortage([&heeded] { return signalfd(-1, &heeded, SFD_NONBLOCK | SFD_CLOEXEC); });
     if (descriptor_ < 0) throw std::runtime_error("no descriptor for signals");
     GSource* source = g_unix_fd_source_new(descriptor_, G_IO_IN);
     auto came = [](gint descriptor, GIOCondition, gpointer self) -> gboolean {
@@ -117,7 +117,7 @@
 // A predecessor answers within a turn of its loop, and one that is stopped never does.
 constexpr double kTakeoverTimeoutSeconds = 1;
 
-Takeover take_over(Log& log, Assignment& assignment) {
+Takeover take_over(Log& log, SidecarConfig& assignment) {
   Result<Takeover, TakeoverError> requested =
       request_takeover(control_path(assignment.listen), kTakeoverTimeoutSeconds);
   if (!requested) {
@@ -138,11 +138,11 @@
 
 int run_sidecar(PolicyMaker make) {
   const char* level = std::getenv("PUFFINVANE_LOG");
-  ProcessLog process_log(STDOUT_FILENO, read_level(level ? level : "info"));
+  ProcessLog process_log(STDOUT_FILENO, parse_log_level(level ? level : "info"));
   Log& log = process_log.log();
   return run_program(process_log, [&](std::unique_ptr<Loop>& loop) {
     const char* file = std::getenv("BALANCER_CONFIG");
-    Assignment assignment = load_assignment(file);
+    SidecarConfig assignment = load_sidecar_config(file);
     const char* admin = std::getenv("BALANCER_CONSOLE");
     if (assignment.admin.empty() && admin) assignment.admin = admin;
     if (assignment.fleet) assignment.fleet->admin = assignment.admin;
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -70,7 +70,7 @@
   try {
     open_listeners(router_.site());
   } catch (const std::runtime_error& fault) {
-    const bool want = dynamic_cast<const Listener::LocalWant*>(&fault) != nullptr;
+    const bool want = dynamic_cast<const Listener::LocalShortage*>(&fault) != nullptr;
     if (!want && tries_ == 0) throw;
     if (!want || ++tries_ > kMostTries) return fail(fault.what());  // the loop is no place to throw through
     return loop().at(loop().now() + kTryAgain, alive_.guard([this] { start(); }));
@@ -126,7 +126,7 @@
         .with("pools_ending", retired_.size());
     tries_ = 0;
   } catch (const std::exception& fault) {
-    if (dynamic_cast<const Listener::LocalWant*>(&fault) && ++tries_ <= kMostTries)
+    if (dynamic_cast<const Listener::LocalShortage*>(&fault) && ++tries_ <= kMostTries)
       return loop().at(loop().now() + kTryAgain, alive_.guard([this] { reload_settings(); }));
     tries_ = 0;
     loop().log().event(Level::Warning, "site.kept").with("version", version_).with("why", fault.what());
@@ -371,7 +371,8 @@
 // ---- the program
 
 int run_site(const std::string& file, const std::string& level, bool json_log, double killed_after) {
-  ProcessLog process_log(STDOUT_FILENO, read_level(level), json_log ? LogFormat::Json : LogFormat::Plain);
+  ProcessLog process_log(STDOUT_FILENO, parse_log_level(level),
+                         json_log ? LogFormat::Json : LogFormat::Plain);
   Log& log = process_log.log();
   auto read = [file, &log](std::string& why) -> std::optional<site::Site> {
     language::Disk disk;
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -86,7 +86,7 @@
   std::vector<Running*> by_place_;                                  // as the router numbers them
   std::vector<std::unique_ptr<Running>> retired_;
   std::vector<routing::Field> fields_;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 // `puffinvane serve`. level: the log's; killed_after: seconds from SIGTERM until whoever sent it kills. What
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -30,7 +30,7 @@
 }
 }  // namespace
 
-Sidecar::Sidecar(Loop& loop, Assignment assignment, std::string assigned_in, PolicyMaker make,
+Sidecar::Sidecar(Loop& loop, SidecarConfig assignment, std::string assigned_in, PolicyMaker make,
                  Takeover takeover)
     : Lifecycle(loop),
       assignment_(std::move(assignment)),
@@ -103,9 +103,9 @@
 
 void Sidecar::reload_settings() {
   try {
-    std::string discovery = load_assignment(assigned_in_.c_str(), OnWant::Throw).discovery;
+    std::string discovery = load_sidecar_config(assigned_in_.c_str(), OnWant::Throw).discovery;
     // Asked for at what is no address nobody would answer, and the discovery that did was given up for it.
-    if (!read_address(discovery)) throw Malformed("'discovery' is not an address and port: " + discovery);
+    if (!parse_address(discovery)) throw Malformed("'discovery' is not an address and port: " + discovery);
     loop().log().info() << assignment_.name << " reads its file anew, discovery at " << discovery;
     assignment_.discovery = discovery;
     watch_.change_address(discovery);
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -23,7 +23,7 @@
                       fleet::Fleet::Owner {
  public:
   // takeover: from the process that it takes over from, if there is one.
-  Sidecar(Loop& loop, Assignment assignment, std::string assigned_in, PolicyMaker make,
+  Sidecar(Loop& loop, SidecarConfig assignment, std::string assigned_in, PolicyMaker make,
           Takeover takeover = {});
   void start() override;
 
@@ -71,7 +71,7 @@
   void look_at_drain();
   bool informed() const;
 
-  Assignment assignment_;
+  SidecarConfig assignment_;
   const std::string assigned_in_;
   double started_ = 0;
   int unread_ = 0;  // tries in a row that its file could not be read for want of something here
@@ -91,7 +91,7 @@
   std::optional<HotRestart> hot_restart_;  // none: with nobody to order it, nobody to follow it either
   std::optional<AdminApi> admin_;          // none: operators call nowhere
   std::optional<fleet::Fleet> fleet_;      // none: it shares nothing with other instances
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/server/start.cpp
+++ b/src/server/start.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-fleet::Place read_place(element config, const Assignment& assignment) {
+fleet::Place read_place(element config, const SidecarConfig& assignment) {
   if (!config.is_object()) throw Malformed("'fleet' is no object");
   fleet::Place place;
   place.name = assignment.name;
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-Assignment read_assignment(element config) {
-  Assignment read;
+SidecarConfig read_sidecar_config(element config) {
+  SidecarConfig read;
   simdjson::dom::object whole;
   if (config.get(whole)) throw Malformed("not a JSON object");
   read.name = text(config, "name");
@@ -99,21 +99,21 @@
 
 [[noreturn]] void not_read(const char* path, int error) {
   std::string why = std::string(path) + ": " + std::strerror(error);
-  if (error == EINTR || error == EIO || is_local_want(error)) throw NotReadNow(why);
+  if (error == EINTR || error == EIO || is_local_shortage(error)) throw NotReadNow(why);
   throw Malformed(why);
 }
 
 // Whole, in as many reads as it takes.
 simdjson::padded_string read_file(const char* path, OnWant want) {
   auto open_it = [path] { return ::open(path, O_RDONLY | O_CLOEXEC); };
-  const int descriptor = want == OnWant::Wait ? patiently(open_it) : uninterrupted(open_it);
+  const int descriptor = want == OnWant::Wait ? retry_on_shortage(open_it) : retry_on_eintr(open_it);
   if (descriptor < 0) not_read(path, errno);
   std::string text;
   std::array<char, 16 * 1024> bytes;
   ssize_t count = 0;
   do {
     auto read_some = [&] { return ::read(descriptor, bytes.data(), bytes.size()); };
-    count = want == OnWant::Wait ? patiently(read_some) : uninterrupted(read_some);
+    count = want == OnWant::Wait ? retry_on_shortage(read_some) : retry_on_eintr(read_some);
     if (count > 0) text.append(bytes.data(), std::size_t(count));
   } while (count > 0);
   const int error = errno;
@@ -124,14 +124,14 @@
 
 }  // namespace
 
-Assignment load_assignment(const char* path, OnWant want) {
+SidecarConfig load_sidecar_config(const char* path, OnWant want) {
   if (!path || !*path) throw Malformed("BALANCER_CONFIG names no file");
   simdjson::dom::parser parser;
   element config;
   if (auto fault = parser.parse(read_file(path, want)).get(config))
     throw Malformed(std::string(path) + ": " + simdjson::error_message(fault));
   try {
-    return read_assignment(config);
+    return read_sidecar_config(config);
   } catch (const Malformed& fault) {
     throw Malformed(std::string(path) + ": " + fault.what());
   }
--- a/src/server/start.h
+++ b/src/server/start.h
@@ -11,7 +11,7 @@
 
 namespace puffinvane {
 
-struct Assignment {
+struct SidecarConfig {
   std::string name, listen, discovery;
   std::string admin;  // where operators call; empty: nowhere
   std::uint64_t seed = 0;
@@ -32,7 +32,7 @@
 enum class OnWant { Wait, Throw };
 
 // Throws Malformed with a plain message that says what is wrong.
-Assignment read_assignment(simdjson::dom::element config);
-Assignment load_assignment(const char* path, OnWant want = OnWant::Wait);
+SidecarConfig read_sidecar_config(simdjson::dom::element config);
+SidecarConfig load_sidecar_config(const char* path, OnWant want = OnWant::Wait);
 
 }  // namespace puffinvane
