--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -15,7 +15,7 @@
 #include "src/proxy/addresses.h"
 #include "src/proxy/idle_connections.h"
 #include "src/proxy/kept_uses.h"
-#include "src/server/start.h"
+#include "src/server/sidecar_config.h"
 #include "testing/helpers.h"
 
 using namespace puffinvane;
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -11,7 +11,7 @@
 #include "src/proxy/downstream_connections.h"
 #include "src/proxy/request_forwarder.h"
 #include "src/server/lifecycle.h"
-#include "src/server/start.h"
+#include "src/server/sidecar_config.h"
 
 namespace puffinvane {
 
