--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -1,4 +1,4 @@
-#include "src/server/start.h"
+#include "src/server/sidecar_config.h"
 
 #include <fcntl.h>
 #include <unistd.h>
