--- a/src/proxy/connection_limiter.h
+++ b/src/proxy/connection_limiter.h
@@ -31,22 +31,22 @@
   std::size_t max_downstream_connections() const { return std::size_t(loop_.descriptors().limit() / 2); }
   bool has_room_for_downstream(std::size_t clients) {
     return clients < max_downstream_connections() &&
-           loop_.pool().lent() * BufferPool::kSize < most_bytes_ / (shared_ ? 2 : 1) &&
+           loop_.pool().in_use() * BufferPool::kSize < most_bytes_ / (shared_ ? 2 : 1) &&
            make_room_for_attempt();
   }
   // Another process lives under the same limits: each keeps to half.
   void share_limits(bool on) {
-    loop_.descriptors().share(shared_ = on);
+    loop_.descriptors().set_shared(shared_ = on);
     make_room_for_attempt();
   }
   // Of a request's body, before it goes on in parts.
   std::size_t max_buffered_body() const {
     std::size_t most = most_bytes_ / (shared_ ? 2 : 1);
-    bool scarce = loop_.pool().lent() * BufferPool::kSize > most / 2;
+    bool scarce = loop_.pool().in_use() * BufferPool::kSize > most / 2;
     return scarce ? HttpReader::kMaxBodyBytes : std::max(HttpReader::kMaxBodyBytes, most / 8);
   }
   bool make_room_for_attempt() {
-    while (loop_.descriptors().left() <= 0) {
+    while (loop_.descriptors().available() <= 0) {
       auto oldest =
           std::min_element(reclaimable_.begin(), reclaimable_.end(),
                            [](const ReclaimableConnections* one, const ReclaimableConnections* other) {
--- a/src/proxy/downstream_connection.h
+++ b/src/proxy/downstream_connection.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/http/http.h"
 #include "src/net/tcp_connection.h"
 
@@ -52,14 +52,14 @@
   void end_response();
   void abort_response() { turn(Input::Cut); }
   bool has_write_backlog() const {
-    return tcp_.unsent() > kMostBehind;
+    return tcp_.unsent_bytes() > kMostBehind;
   }  // it does not read as fast as that comes
   // Of a request handed over before its body was whole.
   bool is_uploading() const { return state_ == State::Uploading; }
   std::optional<std::size_t> content_length() const { return reader_.content_length(); }
   void pause_reading(bool on);
   // For how long it has been held back, if it is: its last byte may have come so long ago.
-  double reading_paused_for() const { return tcp_.reads() ? 0 : loop_.now() - held_since_; }
+  double reading_paused_for() const { return tcp_.is_reading() ? 0 : loop_.now() - held_since_; }
   void close() { turn(Input::Ended); }
   // Between requests: says that it sends no more, and closes soon. What crosses that is never read.
   void close_gracefully() { turn(Input::Drop); }
@@ -68,9 +68,9 @@
   bool check_client_closed();
   // More than that lies unread, and maybe its end. Amid an upload that is its body, without whose last byte
   // nothing begins.
-  bool client_close_undetectable() const { return state_ == State::Waiting && tcp_.crowded(); }
+  bool client_close_undetectable() const { return state_ == State::Waiting && tcp_.input_may_hide_end(); }
   // Between requests, with none on its way: closing crosses nothing that was read.
-  bool is_idle() const { return between() && tcp_.quiet(); }
+  bool is_idle() const { return between() && tcp_.has_nothing_to_read(); }
   bool has_sent_request() const { return asked_; }
   // Its connection, where nothing of a request was read and nothing of an answer is unwritten: what the
   // system holds goes over with it.
@@ -88,7 +88,7 @@
   // Ends what has stood for longer than is owed to it: half a request, nothing at all, an answer unread.
   void check_timeouts(double now);
   bool has_no_unread_input() const {
-    return tcp_.quiet();
+    return tcp_.has_nothing_to_read();
   }  // nothing of what it has sent, nor its end, lies unread
   double last_progress() const { return used_; }
   double last_received() const { return heard_; }                 // when its last byte came, or it did
@@ -139,7 +139,7 @@
   const int listener_;
   double used_, heard_, held_since_ = 0;
   double came_;  // when the last byte of what is read may have come, at the earliest
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/downstream_connections.h
+++ b/src/proxy/downstream_connections.h
@@ -60,7 +60,7 @@
   bool close_after_responses_ = false;
   double longest_client_timeout_ = 6, looked_ = 0;  // looked: for whom to shut
   std::unordered_map<const DownstreamConnection*, std::unique_ptr<DownstreamConnection>> connections_;
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -90,7 +90,7 @@
   void on_endpoint_list(const EndpointList& notified) override;
 
  private:
-  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
+  void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override;
   void cancel_attempt(RequestId request, int number) override;
   void reject_request(RequestId request, double wait) override;
   void fail_request(RequestId request) override;
@@ -181,7 +181,7 @@
   std::map<std::string, std::vector<std::unique_ptr<UpstreamConnection>>> rising_;  // by endpoint; none empty
   IdleReuseHistory kept_uses_;
   std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>> busy_;
-  Alive alive_;
+  LifetimeToken alive_;
   std::unique_ptr<Policy> policy_;
 };
 
