--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -184,7 +184,7 @@
   message_.method = method;
   message_.target = target;
   message_.keep_alive = version == "HTTP/1.1";
-  message_.old = version == "HTTP/1.0";
+  message_.is_http_1_0 = version == "HTTP/1.0";
   state_ = State::Headers;
 }
 
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -23,7 +23,7 @@
   std::string method, target;  // of a request
   int status = 0;              // of an answer
   bool keep_alive = true, expects_continue = false;
-  bool old = false;  // HTTP/1.0, which knows no chunks
+  bool is_http_1_0 = false;  // such a client cannot read chunked encoding
   std::vector<Header> headers;
   BufferChain body;
 };
--- a/src/proxy/connection_limiter.h
+++ b/src/proxy/connection_limiter.h
@@ -1,5 +1,5 @@
-// Descriptors and buffers over all pools: who may come in, and whose idle connection makes room for an
-// attempt.
+// Limits descriptors and buffer memory over all pools: decides whether a client may be accepted, and closes
+// idle upstream connections to make room for attempts.
 #pragma once
 
 #include <algorithm>
@@ -13,38 +13,43 @@
 
 class ConnectionLimiter {
  public:
-  class ReclaimableConnections {  // somebody's idle connections
+  class ReclaimableConnections {  // idle upstream connections of one pool
    public:
     virtual ~ReclaimableConnections() = default;
-    virtual double oldest_idle_since() const = 0;  // since when it has been idle; infinite: there is none
+    // Since when the longest idle connection has been idle; infinite: there is none.
+    virtual double oldest_idle_since() const = 0;
     virtual void close_oldest_idle() = 0;
   };
 
-  // most_bytes: of buffers lent.
-  ConnectionLimiter(Loop& loop, std::size_t most_bytes) : loop_(loop), most_bytes_(most_bytes) {}
+  // max_buffer_bytes: for all buffers in use together.
+  ConnectionLimiter(Loop& loop, std::size_t max_buffer_bytes)
+      : loop_(loop), max_buffer_bytes_(max_buffer_bytes) {}
   void add(ReclaimableConnections& one) { reclaimable_.push_back(&one); }
   void remove(ReclaimableConnections& one) { std::erase(reclaimable_, &one); }
 
-  // Half of the descriptors are kept for endpoints: a request taken without one to send it on with is lost.
-  // Endpoints' idle connections make room: with hundreds of endpoints they alone would fill it, and whoever
-  // comes would wait at the listener with a request that is taken already.
+  // Half of the descriptors are kept for upstream connections: a request that is accepted without a
+  // descriptor to forward it with is lost.
   std::size_t max_downstream_connections() const { return std::size_t(loop_.descriptors().limit() / 2); }
+  // Closes idle upstream connections if no descriptor is left: with hundreds of endpoints they alone could
+  // use up all descriptors, and clients would wait at the listener with their requests already sent.
   bool has_room_for_downstream(std::size_t clients) {
     return clients < max_downstream_connections() &&
-           loop_.pool().in_use() * BufferPool::kSize < most_bytes_ / (shared_ ? 2 : 1) &&
+           loop_.pool().in_use() * BufferPool::kSize < max_buffer_bytes_ / (shared_ ? 2 : 1) &&
            make_room_for_attempt();
   }
-  // Another process lives under the same limits: each keeps to half.
+  // On while another process (predecessor or successor) runs under the same limits: each keeps to half.
   void share_limits(bool on) {
-    loop_.descriptors().set_shared(shared_ = on);
+    shared_ = on;
+    loop_.descriptors().set_shared(on);
     make_room_for_attempt();
   }
-  // Of a request's body, before it goes on in parts.
+  // Bytes of a request body that may be buffered before the body is streamed in parts.
   std::size_t max_buffered_body() const {
-    std::size_t most = most_bytes_ / (shared_ ? 2 : 1);
-    bool scarce = loop_.pool().in_use() * BufferPool::kSize > most / 2;
-    return scarce ? HttpReader::kMaxBodyBytes : std::max(HttpReader::kMaxBodyBytes, most / 8);
+    std::size_t limit = max_buffer_bytes_ / (shared_ ? 2 : 1);
+    bool is_scarce = loop_.pool().in_use() * BufferPool::kSize > limit / 2;
+    return is_scarce ? HttpReader::kMaxBodyBytes : std::max(HttpReader::kMaxBodyBytes, limit / 8);
   }
+  // Closes the longest idle upstream connections until a descriptor is available; false if none becomes so.
   bool make_room_for_attempt() {
     while (loop_.descriptors().available() <= 0) {
       auto oldest =
@@ -60,7 +65,7 @@
 
  private:
   Loop& loop_;
-  const std::size_t most_bytes_;
+  const std::size_t max_buffer_bytes_;
   std::vector<ReclaimableConnections*> reclaimable_;
   bool shared_ = false;
 };
--- a/src/proxy/downstream_connection.cpp
+++ b/src/proxy/downstream_connection.cpp
@@ -5,146 +5,176 @@
 namespace puffinvane {
 
 namespace {
-constexpr double kLinger = 1;  // seconds that a client may say nothing in after its last answer
-// For how long what it goes on sending is read: closed on unread bytes, it would never see that answer.
-constexpr double kLongestLinger = 5.5;
-// Seconds that a connection on which nothing was ever sent may stand, and a body that makes a pause.
-constexpr double kHalf = 2.2;
-// Half a head: some take two by right, and a client that stops there has to know within three, also where
-// this process is held up for a while.
-constexpr double kHalfHead = 2.35;
-constexpr double kPace = 32 * 1024;  // bytes a second that a body has to make: half of what clients promise
-constexpr double kUnreadPart = 60;   // an answer of which nothing more goes out: the system holds megabytes
-// An answer that is not read, beyond the longest time that a client may have for it: cut sooner, it would be
-// lost.
-constexpr double kUnread = 4;
-constexpr double kRead = 0.05;                     // seconds after it entered: what had come by then is read
-constexpr std::size_t kAhead = BufferPool::kSize;  // of requests sent before the one in hand is answered
-// The same where an end may lie behind it: read only when an attempt is about to begin, and less where
-// buffers are scarce.
-constexpr std::size_t kMostAhead = 16 * BufferPool::kSize;
+// Seconds without input from the client after which a lingering connection is closed.
+constexpr double kLingerTimeout = 1;
+// Seconds for which a lingering connection goes on reading and discarding input. Closing while input is
+// unread would reset the connection, and the client would never see the response.
+constexpr double kMaxLinger = 5.5;
+// Seconds that a new connection may send nothing at all, and that a request body may pause.
+constexpr double kSilenceTimeout = 2.2;
+// Seconds for the head of a request. Clients may take two; one that stops in between has to get its 408
+// within three, even if this process stalls for a while.
+constexpr double kHeadTimeout = 2.35;
+// Bytes per second that an upload has to reach: half of what clients promise.
+constexpr double kMinUploadRate = 32 * 1024;
+// Seconds without any progress of a streamed response. Long, because the kernel buffers megabytes and a slow
+// client may read from them for a while before more can be written.
+constexpr double kStreamStallTimeout = 60;
+// Seconds, beyond the longest client timeout, for which a response may stay unread. Closing sooner would lose
+// it.
+constexpr double kUnreadResponseGrace = 4;
+// Seconds after the accept within which everything read is taken to have arrived before the accept.
+constexpr double kAcceptReadWindow = 0.05;
+// Bytes of pipelined requests that are buffered while a request is in flight.
+constexpr std::size_t kMaxPipelined = BufferPool::kSize;
+// The same while looking for the end of the stream behind the pipelined input. This much is read only when an
+// attempt is about to start, and less while buffers are scarce.
+constexpr std::size_t kMaxReadAhead = 16 * BufferPool::kSize;
 }  // namespace
 
 const Transition<DownstreamConnection, DownstreamConnection::State, DownstreamConnection::Input>
-    DownstreamConnection::kRows[] = {
-        {State::Reading, Input::Begun, State::Uploading, &DownstreamConnection::begin},
-        {State::Uploading, Input::Request, State::Waiting, &DownstreamConnection::hand_over_rest},
-        {State::Uploading, Input::Fault, State::Parting, &DownstreamConnection::refuse_rest},
-        {State::Uploading, Input::Late, State::Over, &DownstreamConnection::leave},
-        {State::Uploading, Input::Answer, State::Parting, &DownstreamConnection::nothing},
-        {State::Uploading, Input::LastAnswer, State::Parting, &DownstreamConnection::nothing},
-        {State::Uploading, Input::Ended, State::Over, &DownstreamConnection::leave},
-        {State::Waiting, Input::Relay, State::Relaying, &DownstreamConnection::nothing},
-        {State::Relaying, Input::Written, State::Relaying, &DownstreamConnection::drained},
-        {State::Relaying, Input::Answer, State::Answering, &DownstreamConnection::nothing},
-        {State::Relaying, Input::LastAnswer, State::Parting, &DownstreamConnection::nothing},
-        {State::Relaying, Input::Cut, State::Over, &DownstreamConnection::leave_cut},
-        {State::Relaying, Input::Ended, State::Over, &DownstreamConnection::leave},
-        {State::Reading, Input::Request, State::Waiting, &DownstreamConnection::hand_over},
-        {State::Reading, Input::Fault, State::Parting, &DownstreamConnection::refuse},
-        {State::Reading, Input::Late, State::Parting, &DownstreamConnection::refuse},
-        {State::Reading, Input::Drop, State::Lingering, &DownstreamConnection::linger},
-        {State::Reading, Input::Ended, State::Over, &DownstreamConnection::leave},
-        {State::Waiting, Input::Answer, State::Answering, &DownstreamConnection::nothing},
-        {State::Waiting, Input::LastAnswer, State::Parting, &DownstreamConnection::nothing},
-        {State::Waiting, Input::Ended, State::Over, &DownstreamConnection::leave},
-        {State::Answering, Input::Written, State::Reading, &DownstreamConnection::read_on},
-        {State::Answering, Input::Ended, State::Over, &DownstreamConnection::leave},
-        {State::Parting, Input::Written, State::Lingering, &DownstreamConnection::linger},
-        {State::Parting, Input::Ended, State::Over, &DownstreamConnection::leave},
-        {State::Lingering, Input::Ended, State::Over, &DownstreamConnection::leave},
+    DownstreamConnection::kTransitions[] = {
+        {State::ReadingRequest, Input::UploadStarted, State::Uploading,
+         &DownstreamConnection::dispatch_upload},
+        {State::Uploading, Input::RequestComplete, State::AwaitingResponse,
+         &DownstreamConnection::finish_upload},
+        {State::Uploading, Input::ParseError, State::WritingLastResponse,
+         &DownstreamConnection::abandon_upload},
+        {State::Uploading, Input::TimedOut, State::Closed, &DownstreamConnection::close_now},
+        {State::Uploading, Input::ResponseComplete, State::WritingLastResponse,
+         &DownstreamConnection::do_nothing},
+        {State::Uploading, Input::LastResponseComplete, State::WritingLastResponse,
+         &DownstreamConnection::do_nothing},
+        {State::Uploading, Input::Ended, State::Closed, &DownstreamConnection::close_now},
+        {State::AwaitingResponse, Input::ResponseStarted, State::StreamingResponse,
+         &DownstreamConnection::do_nothing},
+        {State::StreamingResponse, Input::Written, State::StreamingResponse,
+         &DownstreamConnection::on_stream_written},
+        {State::StreamingResponse, Input::ResponseComplete, State::WritingResponse,
+         &DownstreamConnection::do_nothing},
+        {State::StreamingResponse, Input::LastResponseComplete, State::WritingLastResponse,
+         &DownstreamConnection::do_nothing},
+        {State::StreamingResponse, Input::Aborted, State::Closed, &DownstreamConnection::reset_now},
+        {State::StreamingResponse, Input::Ended, State::Closed, &DownstreamConnection::close_now},
+        {State::ReadingRequest, Input::RequestComplete, State::AwaitingResponse,
+         &DownstreamConnection::dispatch_request},
+        {State::ReadingRequest, Input::ParseError, State::WritingLastResponse,
+         &DownstreamConnection::respond_with_error},
+        {State::ReadingRequest, Input::TimedOut, State::WritingLastResponse,
+         &DownstreamConnection::respond_with_error},
+        {State::ReadingRequest, Input::CloseRequested, State::Lingering,
+         &DownstreamConnection::start_lingering},
+        {State::ReadingRequest, Input::Ended, State::Closed, &DownstreamConnection::close_now},
+        {State::AwaitingResponse, Input::ResponseComplete, State::WritingResponse,
+         &DownstreamConnection::do_nothing},
+        {State::AwaitingResponse, Input::LastResponseComplete, State::WritingLastResponse,
+         &DownstreamConnection::do_nothing},
+        {State::AwaitingResponse, Input::Ended, State::Closed, &DownstreamConnection::close_now},
+        {State::WritingResponse, Input::Written, State::ReadingRequest,
+         &DownstreamConnection::read_next_request},
+        {State::WritingResponse, Input::Ended, State::Closed, &DownstreamConnection::close_now},
+        {State::WritingLastResponse, Input::Written, State::Lingering,
+         &DownstreamConnection::start_lingering},
+        {State::WritingLastResponse, Input::Ended, State::Closed, &DownstreamConnection::close_now},
+        {State::Lingering, Input::Ended, State::Closed, &DownstreamConnection::close_now},
 };
 
 DownstreamConnection::DownstreamConnection(Loop& loop, Owner& owner, Ref<GSocket> socket, int listener,
-                                           double waited, std::size_t most_body, std::size_t most_streamed,
-                                           bool asked)
+                                           double waited, std::size_t max_body, std::size_t max_streamed,
+                                           bool has_sent_request)
     : loop_(loop),
       owner_(owner),
       tcp_(loop, *this),
-      reader_(HttpReader::Side::Request, loop.pool(), most_body, most_streamed),
+      reader_(HttpReader::Side::Request, loop.pool(), max_body, max_streamed),
       unread_(loop.pool()),
-      asked_(asked),
+      has_sent_request_(has_sent_request),
       listener_(listener),
-      used_(loop.now()),
-      heard_(used_),
-      came_(used_ - waited) {
-  tcp_.report_end_while_paused();  // its leaving counts in every state, also while what it sends ahead is
-                                   // left unread
+      last_progress_(loop.now()),
+      last_received_(last_progress_),
+      arrived_at_(last_progress_ - waited) {
+  // The end of the client's stream matters in every state, even while pipelined input is left unread.
+  tcp_.report_end_while_paused();
   tcp_.deliver_after_close();
   tcp_.adopt(std::move(socket));
 }
 
-void DownstreamConnection::turn(Input input) { apply_transition(kRows, *this, state_, input); }
+void DownstreamConnection::apply(Input input) { apply_transition(kTransitions, *this, state_, input); }
 
 void DownstreamConnection::check_timeouts(double now) {
-  if (state_ == State::Reading || state_ == State::Uploading) {
-    end_if_overdue(now);
-  } else if (state_ == State::Relaying) {
-    if (now - used_ > kUnreadPart) turn(Input::Ended);
+  if (state_ == State::ReadingRequest || state_ == State::Uploading) {
+    enforce_request_timeout(now);
+  } else if (state_ == State::StreamingResponse) {
+    if (now - last_progress_ > kStreamStallTimeout) apply(Input::Ended);
   } else if (state_ == State::Lingering) {
-    if (now - heard_ > kLinger || now - used_ > kLongestLinger) turn(Input::Ended);
-  } else if (state_ == State::Answering || state_ == State::Parting) {
-    if (now - used_ > owner_.longest_client_timeout() + kUnread) turn(Input::Ended);
+    if (now - last_received_ > kLingerTimeout || now - last_progress_ > kMaxLinger) apply(Input::Ended);
+  } else if (state_ == State::WritingResponse || state_ == State::WritingLastResponse) {
+    if (now - last_progress_ > owner_.longest_client_timeout() + kUnreadResponseGrace) apply(Input::Ended);
   }
 }
 
-// What lies unread is read first: it may be the rest of the request.
-void DownstreamConnection::end_if_overdue(double now) {
-  const bool is_overdue = reader_.started() ? slow(now) : !asked_ && now - used_ > kHalf;
-  if (is_overdue && has_no_unread_input()) turn(reader_.started() ? Input::Late : Input::Drop);
+// Does nothing while input is unread: it may contain the rest of the request.
+void DownstreamConnection::enforce_request_timeout(double now) {
+  const bool is_overdue =
+      reader_.started() ? is_too_slow(now) : !has_sent_request_ && now - last_progress_ > kSilenceTimeout;
+  if (is_overdue && has_no_unread_input()) apply(reader_.started() ? Input::TimedOut : Input::CloseRequested);
 }
 
-// By its pace, not by its start alone: a byte now and then would else hold its place for ever.
-bool DownstreamConnection::slow(double now) const {
-  if (!reader_.in_body()) return now - used_ > kHalfHead;
-  if (!tcp_.is_reading()) return false;  // it is we who don't read
-  return now - heard_ > kHalf ||
-         now - used_ > kHalfHead + kHalf + double(reader_.body_bytes_received()) / kPace;
+// A pause alone is not enough: a client that sends a byte now and then would hold its connection forever, so
+// the average rate counts as well.
+bool DownstreamConnection::is_too_slow(double now) const {
+  if (!reader_.in_body()) return now - last_progress_ > kHeadTimeout;
+  if (!tcp_.is_reading()) return false;  // this side has paused the upload
+  return now - last_received_ > kSilenceTimeout ||
+         now - last_progress_ >
+             kHeadTimeout + kSilenceTimeout + double(reader_.body_bytes_received()) / kMinUploadRate;
 }
 
 void DownstreamConnection::on_received(std::string_view bytes) {
-  heard_ = loop_.now();
-  if (state_ == State::Lingering || state_ == State::Parting) return;
-  // From its first byte: one that sends a byte now and then would else hold its place for ever. On a new
-  // connection from its start, as one that waits and then sends half a request is owed no more time.
-  if (state_ == State::Reading && asked_ && !reader_.started()) used_ = loop_.now();
-  note_arrival();
+  last_received_ = loop_.now();
+  if (state_ == State::Lingering || state_ == State::WritingLastResponse) return;
+  // The head timeout runs from the first byte of a request and is not extended by later bytes: a client that
+  // sends a byte now and then would hold its connection forever. On a new connection it runs from the accept,
+  // so that waiting before the first byte gains no time.
+  if (state_ == State::ReadingRequest && has_sent_request_ && !reader_.started())
+    last_progress_ = loop_.now();
+  update_arrival_time();
   unread_.add(bytes);
-  if (unread_.size() > kAhead && state_ != State::Reading && state_ != State::Uploading) {
+  if (unread_.size() > kMaxPipelined && state_ != State::ReadingRequest && state_ != State::Uploading) {
     tcp_.set_reading(false);
-    paused_ = true;
+    read_ahead_full_ = true;
   }
-  take_in();
-  // Here too: of a client that sends all the time something lies unread whenever it is looked at.
-  if (state_ == State::Reading || state_ == State::Uploading) end_if_overdue(heard_);
+  parse_input();
+  // Also checked here: check_timeouts always finds unread input of a client that keeps sending.
+  if (state_ == State::ReadingRequest || state_ == State::Uploading) enforce_request_timeout(last_received_);
 }
 
-// What is read as soon as it has entered lay at the listener. What lies behind a request in hand came when
-// the first of it did, or later: that is not told apart.
-void DownstreamConnection::note_arrival() {
-  bool entered = !asked_ && !reader_.started() && loop_.now() - used_ < kRead;
-  bool behind = !unread_.empty() || std::exchange(paused_, false);
-  if (!entered && !behind) came_ = loop_.now() - loop_.stall_duration();
+// Bytes read right after the accept had been queued at the listener. Bytes behind a request in flight arrived
+// at some time since the first of them; the exact time is unknown, so the earliest is kept.
+void DownstreamConnection::update_arrival_time() {
+  bool is_newly_accepted =
+      !has_sent_request_ && !reader_.started() && loop_.now() - last_progress_ < kAcceptReadWindow;
+  bool is_behind_request = !unread_.empty() || std::exchange(read_ahead_full_, false);
+  if (!is_newly_accepted && !is_behind_request) arrived_at_ = loop_.now() - loop_.stall_duration();
 }
 
 bool DownstreamConnection::check_client_closed() {
-  if (state_ == State::Waiting) read_ahead();
+  if (state_ == State::AwaitingResponse) read_ahead();
   return tcp_.has_ended();
 }
 
 void DownstreamConnection::read_ahead() {
-  const std::size_t most = std::min(kMostAhead, owner_.max_buffered_body());
-  while (unread_.size() < most && tcp_.input_may_hide_end()) {
-    note_arrival();
+  const std::size_t limit = std::min(kMaxReadAhead, owner_.max_buffered_body());
+  while (unread_.size() < limit && tcp_.input_may_hide_end()) {
+    update_arrival_time();
     if (!tcp_.read_into(unread_)) return;
   }
 }
 
-void DownstreamConnection::take_in() {
-  while ((state_ == State::Reading || state_ == State::Uploading) && !unread_.empty()) {
+void DownstreamConnection::parse_input() {
+  while ((state_ == State::ReadingRequest || state_ == State::Uploading) && !unread_.empty()) {
     unread_.drop(reader_.feed(unread_.front()));
-    if (reader_.fault() != HttpReader::Fault::None) return turn(Input::Fault);
-    if (reader_.is_complete()) return turn(Input::Request);
+    if (reader_.fault() != HttpReader::Fault::None) return apply(Input::ParseError);
+    if (reader_.is_complete()) return apply(Input::RequestComplete);
     if (state_ == State::Uploading) {
       if (open_request && reader_.in_body())
         open_request->owner->on_body_part(open_request->id, reader_.take_body_part(), false);
@@ -152,156 +182,166 @@
     }
     if (reader_.is_streaming() && reader_.in_body() &&
         reader_.body_bytes_received() > owner_.max_buffered_body()) {
-      turn(Input::Begun);
+      apply(Input::UploadStarted);
       continue;
     }
-    if (reader_.in_body() && reader_.message().expects_continue && !std::exchange(continued_, true)) {
+    if (reader_.in_body() && reader_.message().expects_continue && !std::exchange(continue_sent_, true)) {
       BufferChain out(loop_.pool());
       out.add("HTTP/1.1 100 Continue\r\n\r\n");
       tcp_.send(std::move(out));
     }
   }
-  if (parts_ && is_idle())
-    close_gracefully();  // its last answer waited for what lay behind, and that was no request
+  // The connection was kept open for input that followed the last request, and that was no request.
+  if (closes_after_response_ && is_idle()) close_gracefully();
 }
 
-void DownstreamConnection::begin() {
+void DownstreamConnection::dispatch_upload() {
   HttpMessage message = reader_.take_head();
   keep_alive_ = message.keep_alive;
-  to_head_ = false, old_ = message.old;
-  asked_ = true;
+  is_head_request_ = false;
+  is_http_1_0_ = message.is_http_1_0;
+  has_sent_request_ = true;
   owner_.on_request(*this, std::move(message));
 }
 
 void DownstreamConnection::pause_reading(bool on) {
   double now = loop_.now();
-  if (on && tcp_.is_reading()) held_since_ = now;
-  if (!on && !tcp_.is_reading())
-    used_ += now - held_since_, heard_ = now;  // it was not the client that paused
+  if (on && tcp_.is_reading()) paused_since_ = now;
+  if (!on && !tcp_.is_reading()) {
+    // The pause was made by this side and does not count against the client.
+    last_progress_ += now - paused_since_;
+    last_received_ = now;
+  }
   tcp_.set_reading(!on);
 }
 
-void DownstreamConnection::hand_over_rest() {
-  continued_ = false;
+void DownstreamConnection::finish_upload() {
+  continue_sent_ = false;
   BufferChain rest = reader_.take_body_part();
   reader_.take();
   if (open_request) open_request->owner->on_body_part(open_request->id, std::move(rest), true);
 }
 
 void DownstreamConnection::begin_response(const HttpMessage& from, std::optional<std::size_t> size) {
-  if (state_ != State::Waiting) return;
-  chunks_ = !size && !old_;
-  bool its_own_word = !keep_alive_;
-  keep_alive_ = keep_alive_ && (size || chunks_) && !ends_here(false);
-  if (!keep_alive_) close_after(its_own_word);
+  if (state_ != State::AwaitingResponse) return;
+  chunks_response_ = !size && !is_http_1_0_;
+  bool client_is_done = !keep_alive_;
+  keep_alive_ = keep_alive_ && (size || chunks_response_) && !may_be_last_response(false);
+  if (!keep_alive_) stop_reading_requests(client_is_done);
   BufferChain out(loop_.pool());
-  write_response_head(out, from, {size, !chunks_}, !keep_alive_);
-  used_ = loop_.now();
-  turn(Input::Relay);
+  write_response_head(out, from, {size, !chunks_response_}, !keep_alive_);
+  last_progress_ = loop_.now();
+  apply(Input::ResponseStarted);
   tcp_.send(std::move(out));
 }
 
 void DownstreamConnection::send_body_part(BufferChain bytes) {
-  if (state_ != State::Relaying || bytes.empty()) return;
+  if (state_ != State::StreamingResponse || bytes.empty()) return;
   BufferChain out(loop_.pool());
-  chunks_ ? write_chunk(out, bytes) : void(out = std::move(bytes));
-  used_ = loop_.now();
+  if (chunks_response_) write_chunk(out, bytes);
+  else out = std::move(bytes);
+  last_progress_ = loop_.now();
   tcp_.send(std::move(out));
 }
 
 void DownstreamConnection::end_response() {
-  if (state_ != State::Relaying) return;
-  used_ = loop_.now();
-  turn(keep_alive_ ? Input::Answer : Input::LastAnswer);
+  if (state_ != State::StreamingResponse) return;
+  last_progress_ = loop_.now();
+  apply(keep_alive_ ? Input::ResponseComplete : Input::LastResponseComplete);
   BufferChain out(loop_.pool());
-  if (chunks_) write_last_chunk(out);
+  if (chunks_response_) write_last_chunk(out);
   tcp_.send(std::move(out));
-  if (tcp_.is_all_written()) turn(Input::Written);
+  if (tcp_.is_all_written()) apply(Input::Written);
 }
 
-void DownstreamConnection::drained() {
-  used_ = loop_.now();
+void DownstreamConnection::on_stream_written() {
+  last_progress_ = loop_.now();
   if (open_request) open_request->owner->on_response_drained(open_request->id);
 }
 
-void DownstreamConnection::hand_over() {
+void DownstreamConnection::dispatch_request() {
   HttpMessage message = reader_.take();
-  old_ = message.old;
+  is_http_1_0_ = message.is_http_1_0;
   keep_alive_ = message.keep_alive;
-  to_head_ = message.method == "HEAD";
-  continued_ = false, asked_ = true;
+  is_head_request_ = message.method == "HEAD";
+  continue_sent_ = false;
+  has_sent_request_ = true;
   owner_.on_request(*this, std::move(message));
 }
 
-// Its request can't become whole any more; what was sent on of it is given up.
-void DownstreamConnection::refuse_rest() {
-  if (std::optional<OpenRequest> given_up = std::exchange(open_request, {}))
-    given_up->owner->on_client_disconnected(given_up->id);
-  refuse();
+// The rest of the request cannot be read any more: cancels the attempts that already stream it.
+void DownstreamConnection::abandon_upload() {
+  if (std::optional<OpenRequest> abandoned = std::exchange(open_request, {}))
+    abandoned->owner->on_client_disconnected(abandoned->id);
+  respond_with_error();
 }
 
-void DownstreamConnection::refuse() {
+void DownstreamConnection::respond_with_error() {
   int status = reader_.fault() == HttpReader::Fault::HeadTooLarge   ? 431
                : reader_.fault() == HttpReader::Fault::BodyTooLarge ? 413
                : reader_.fault() == HttpReader::Fault::Malformed    ? 400
                                                                     : 408;
-  used_ = loop_.now();
-  reads_out_ = true;
+  last_progress_ = loop_.now();
+  discards_input_ = true;
   BufferChain out(loop_.pool());
   write_response(out, status, nullptr, "", "this request can't be read\n", true);
   tcp_.send(std::move(out));
-  if (tcp_.is_all_written()) turn(Input::Written);
+  if (tcp_.is_all_written()) apply(Input::Written);
 }
 
 void DownstreamConnection::respond(int status, const HttpMessage* from, std::string_view more_headers,
                                    std::string_view text, bool last) {
-  if (state_ != State::Waiting && state_ != State::Uploading) return;
-  const bool its_own_word = state_ == State::Uploading || !keep_alive_;
-  last = its_own_word || ends_here(last);
-  if (last) close_after(its_own_word);
+  if (state_ != State::AwaitingResponse && state_ != State::Uploading) return;
+  const bool client_is_done = state_ == State::Uploading || !keep_alive_;
+  last = client_is_done || may_be_last_response(last);
+  if (last) stop_reading_requests(client_is_done);
   BufferChain out(loop_.pool());
-  write_response(out, status, from, more_headers, text, last, to_head_);
-  used_ = loop_.now();
-  turn(last ? Input::LastAnswer : Input::Answer);
+  write_response(out, status, from, more_headers, text, last, is_head_request_);
+  last_progress_ = loop_.now();
+  apply(last ? Input::LastResponseComplete : Input::ResponseComplete);
   tcp_.send(std::move(out));
-  if (tcp_.is_all_written()) turn(Input::Written);
+  if (tcp_.is_all_written()) apply(Input::Written);
 }
 
-void DownstreamConnection::read_on() {
+void DownstreamConnection::read_next_request() {
   tcp_.set_reading(true);
-  // Put off: each of many requests sent ahead would else be answered deeper within the call before.
-  if (!unread_.empty()) loop_.post(alive_.guard([this] { take_in(); }));
+  // Posted to the loop: otherwise each of many pipelined requests would be handled one call deeper in the
+  // stack.
+  if (!unread_.empty()) loop_.post(alive_.guard([this] { parse_input(); }));
 }
 
-// Whether the answer in hand is the last for our own reasons. What was sent behind its request has been
-// taken: closed on, it would be lost.
-bool DownstreamConnection::ends_here(bool asked_for) const {
-  bool more_waits = !unread_.empty() || !has_no_unread_input();
-  return (asked_for || parts_ || owner_.closes_after_response()) && !more_waits;
+// Whether this side may close after the current response. Not while pipelined input is pending: it has been
+// received already, and closing would lose the requests in it.
+bool DownstreamConnection::may_be_last_response(bool last) const {
+  bool has_more_input = !unread_.empty() || !has_no_unread_input();
+  return (last || closes_after_response_ || owner_.closes_after_response()) && !has_more_input;
 }
 
-// its_own_word: the client said that it sends no more requests, or it is amid one that is read no further.
-// Else what comes from here on crosses the end, and is left unread for it to send again elsewhere.
-void DownstreamConnection::close_after(bool its_own_word) {
-  reads_out_ = its_own_word;
-  if (!reads_out_) tcp_.set_reading(false);
+// client_is_done: the client announced that it sends no more requests, or it is within a request whose rest
+// is not wanted; further input is read and discarded. Otherwise further input is a request that crosses the
+// close: it stays unread, and the client can send it again on another connection.
+void DownstreamConnection::stop_reading_requests(bool client_is_done) {
+  discards_input_ = client_is_done;
+  if (!discards_input_) tcp_.set_reading(false);
 }
 
-void DownstreamConnection::linger() {
+void DownstreamConnection::start_lingering() {
   tcp_.shutdown_write();
-  used_ = heard_ = loop_.now();
-  // Closed at once with bytes still unread, the system would reset the connection and with it the answer.
-  if (reads_out_) tcp_.read_in_bulk();
-  tcp_.set_reading(reads_out_);
+  last_progress_ = loop_.now();
+  last_received_ = last_progress_;
+  // Closing while input is unread would reset the connection, and the response would be lost.
+  if (discards_input_) tcp_.read_in_bulk();
+  tcp_.set_reading(discards_input_);
 }
 
-// Where neither a length nor chunks say so, only a reset tells the client that it has not got all.
-void DownstreamConnection::leave_cut() {
+// A reset tells the client that the response is incomplete, even where neither a Content-Length nor chunked
+// encoding would show it.
+void DownstreamConnection::reset_now() {
   tcp_.reset();
   owner_.on_closed(*this);
 }
 
-void DownstreamConnection::leave() {
+void DownstreamConnection::close_now() {
   tcp_.close();
   owner_.on_closed(*this);
 }
--- a/src/proxy/downstream_connection.h
+++ b/src/proxy/downstream_connection.h
@@ -1,4 +1,4 @@
-// A client's connection: one request at a time, read whole, answered whole.
+// A connection from a client. Handles one request at a time; pipelined requests wait until it is answered.
 #pragma once
 
 #include <algorithm>
@@ -17,128 +17,171 @@
    public:
     virtual ~Owner() = default;
     virtual void on_request(DownstreamConnection& downstream, HttpMessage message) = 0;
-    virtual void on_closed(
-        DownstreamConnection& downstream) = 0;          // its connection is over; the owner lets go of it
-    virtual bool closes_after_response() const = 0;     // answers are the last on their connections
-    virtual std::size_t max_buffered_body() const = 0;  // of a body, before it is handed over in parts
-    virtual double longest_client_timeout() const = 0;  // seconds that a client may have for its answer
+    // The connection is over; the owner has to destroy the object, but not within this call.
+    virtual void on_closed(DownstreamConnection& downstream) = 0;
+    // Whether every connection is to be closed after its next response.
+    virtual bool closes_after_response() const = 0;
+    // Bytes of a request body that are buffered before the body is streamed in parts.
+    virtual std::size_t max_buffered_body() const = 0;
+    // Seconds: the longest client timeout of any request class.
+    virtual double longest_client_timeout() const = 0;
   };
-  class RequestOwner {  // who has its pending request
+  // Owns the pending request of this connection.
+  class RequestOwner {
    public:
     virtual ~RequestOwner() = default;
     virtual void on_client_disconnected(std::uint32_t request) = 0;
-    virtual void on_body_part(std::uint32_t request, BufferChain bytes,
-                              bool whole) = 0;  // of its request's body
-    virtual void on_response_drained(
-        std::uint32_t request) = 0;  // its client has been sent all that there was
+    // The next part of a streamed request body; `whole`: it is the last part.
+    virtual void on_body_part(std::uint32_t request, BufferChain bytes, bool whole) = 0;
+    // All bytes of the streamed response so far have been written to the socket.
+    virtual void on_response_drained(std::uint32_t request) = 0;
   };
   struct OpenRequest {
     RequestOwner* owner = nullptr;
     std::uint32_t id = 0;
   };
 
-  // waited: seconds that what it sent may have lain at the listener. asked: it has sent a whole request on
-  // this connection before.
+  // waited: seconds that received bytes may have been queued at the listener before the accept.
+  // has_sent_request: the connection has already carried a whole request, in the process that it is taken
+  // over from.
   DownstreamConnection(Loop& loop, Owner& owner, Ref<GSocket> socket, int listener, double waited,
-                       std::size_t most_body, std::size_t most_streamed, bool asked = false);
+                       std::size_t max_body, std::size_t max_streamed, bool has_sent_request = false);
 
-  // last: on this connection, unless more was sent behind its request, which is answered first.
+  // Sends a whole response. last: closes the connection after it, unless pipelined input is pending, which
+  // is handled first.
   void respond(int status, const HttpMessage* from, std::string_view more_headers, std::string_view text,
                bool last);
-  // An answer that goes on while it comes; nothing else is on its connection until its end, or until it is
-  // cut, so that the client can tell.
+  // Streams a response: begin_response, any number of send_body_part, then end_response; or abort_response,
+  // which resets the connection so that the client can tell that the response is incomplete.
   void begin_response(const HttpMessage& from, std::optional<std::size_t> size);
   void send_body_part(BufferChain bytes);
   void end_response();
-  void abort_response() { turn(Input::Cut); }
-  bool has_write_backlog() const {
-    return tcp_.unsent_bytes() > kMostBehind;
-  }  // it does not read as fast as that comes
-  // Of a request handed over before its body was whole.
+  void abort_response() { apply(Input::Aborted); }
+  // The client reads more slowly than the response arrives.
+  bool has_write_backlog() const { return tcp_.unsent_bytes() > kMaxWriteBacklog; }
+
+  // The request was dispatched before its body was complete.
   bool is_uploading() const { return state_ == State::Uploading; }
   std::optional<std::size_t> content_length() const { return reader_.content_length(); }
   void pause_reading(bool on);
-  // For how long it has been held back, if it is: its last byte may have come so long ago.
-  double reading_paused_for() const { return tcp_.is_reading() ? 0 : loop_.now() - held_since_; }
-  void close() { turn(Input::Ended); }
-  // Between requests: says that it sends no more, and closes soon. What crosses that is never read.
-  void close_gracefully() { turn(Input::Drop); }
-  // It has closed its connection, whether that was read or not. What lies before that is read ahead, up to a
-  // bound.
+  // Seconds since reading was paused, 0 if it is not. The last byte may have arrived that long ago.
+  double reading_paused_for() const { return tcp_.is_reading() ? 0 : loop_.now() - paused_since_; }
+
+  void close() { apply(Input::Ended); }
+  // Only between requests: shuts down the write side and closes shortly after. A request that arrives
+  // meanwhile is not read.
+  void close_gracefully() { apply(Input::CloseRequested); }
+  // Whether the client has closed its side. Reads pipelined input ahead, up to a limit, because the close is
+  // only visible behind it.
   bool check_client_closed();
-  // More than that lies unread, and maybe its end. Amid an upload that is its body, without whose last byte
-  // nothing begins.
-  bool client_close_undetectable() const { return state_ == State::Waiting && tcp_.input_may_hide_end(); }
-  // Between requests, with none on its way: closing crosses nothing that was read.
-  bool is_idle() const { return between() && tcp_.has_nothing_to_read(); }
-  bool has_sent_request() const { return asked_; }
-  // Its connection, where nothing of a request was read and nothing of an answer is unwritten: what the
-  // system holds goes over with it.
-  GSocket* transferable_socket() const { return between() ? tcp_.socket() : nullptr; }
+  // Whether so much input is still unread that a close could be hidden behind it. During an upload the
+  // unread input is the rest of the body, and the request cannot be executed before its last byte is here.
+  bool client_close_undetectable() const {
+    return state_ == State::AwaitingResponse && tcp_.input_may_hide_end();
+  }
+  // Between requests with no unread input: closing loses no bytes that have arrived.
+  bool is_idle() const { return is_between_requests() && tcp_.has_nothing_to_read(); }
+  bool has_sent_request() const { return has_sent_request_; }
+  // The socket, if it can be handed over to a successor process: no part of a request has been read from it,
+  // and no response is unwritten. Unread input in the kernel goes with the socket. Null otherwise.
+  GSocket* transferable_socket() const { return is_between_requests() ? tcp_.socket() : nullptr; }
   void release_transferred_socket() {
     tcp_.release();
     close();
   }
-  // For how long the request that is handed over may have lain, whole, at the listener or behind another one.
-  double queueing_time() const { return std::max(0.0, loop_.now() - came_); }
-  bool is_lingering() const { return state_ == State::Lingering; }  // it has its last answer
-  bool awaits_first_request() const {
-    return state_ == State::Reading && !asked_;
-  }  // has not sent one whole request
-  // Ends what has stood for longer than is owed to it: half a request, nothing at all, an answer unread.
+  // Seconds, at most, that the dispatched request was queued at the listener or behind an earlier request
+  // after its last byte had arrived.
+  double queueing_time() const { return std::max(0.0, loop_.now() - arrived_at_); }
+  // The last response is written; the connection only waits for the client to close.
+  bool is_lingering() const { return state_ == State::Lingering; }
+  bool awaits_first_request() const { return state_ == State::ReadingRequest && !has_sent_request_; }
+  // Closes the connection, or answers 408, if the timeout of its state has passed.
   void check_timeouts(double now);
-  bool has_no_unread_input() const {
-    return tcp_.has_nothing_to_read();
-  }  // nothing of what it has sent, nor its end, lies unread
-  double last_progress() const { return used_; }
-  double last_received() const { return heard_; }                 // when its last byte came, or it did
-  bool has_partial_request() const { return reader_.started(); }  // some of a request has come
-  int listener() const { return listener_; }                      // that it came in by
-  void close_after_next_response() { parts_ = true; }             // the next answer is the last
+  // Neither bytes nor the end of the stream are unread.
+  bool has_no_unread_input() const { return tcp_.has_nothing_to_read(); }
+  // When the connection last changed its state or made progress in it; timeouts are measured from here.
+  double last_progress() const { return last_progress_; }
+  // When the last byte was received, or else when the connection was accepted.
+  double last_received() const { return last_received_; }
+  bool has_partial_request() const { return reader_.started(); }
+  int listener() const { return listener_; }  // the number of the listener that accepted it
+  void close_after_next_response() { closes_after_response_ = true; }
   std::optional<OpenRequest> open_request;
 
  private:
-  static constexpr std::size_t kMostBehind = 64 * 1024;
-  enum class State { Reading, Uploading, Waiting, Relaying, Answering, Parting, Lingering, Over };
-  enum class Input { Begun, Request, Fault, Late, Relay, Answer, LastAnswer, Written, Cut, Drop, Ended };
-  static const Transition<DownstreamConnection, State, Input> kRows[];
-  void turn(Input input);
-  bool between() const { return state_ == State::Reading && !reader_.started() && unread_.empty(); }
-  void nothing() {}
-  void begin();
-  void hand_over();
-  void hand_over_rest();
-  void drained();
-  bool slow(double now) const;
-  void end_if_overdue(double now);
-  void refuse();
-  void refuse_rest();
-  void read_on();
-  bool ends_here(bool asked_for) const;
-  void close_after(bool its_own_word);
-  void linger();
-  void leave();
-  void leave_cut();
+  static constexpr std::size_t kMaxWriteBacklog = 64 * 1024;
+  enum class State {
+    ReadingRequest,
+    Uploading,  // the request is dispatched, its body still arrives
+    AwaitingResponse,
+    StreamingResponse,
+    WritingResponse,
+    WritingLastResponse,
+    Lingering,
+    Closed
+  };
+  enum class Input {
+    UploadStarted,
+    RequestComplete,
+    ParseError,
+    TimedOut,
+    ResponseStarted,
+    ResponseComplete,
+    LastResponseComplete,
+    Written,
+    Aborted,
+    CloseRequested,
+    Ended
+  };
+  static const Transition<DownstreamConnection, State, Input> kTransitions[];
+  void apply(Input input);
+  bool is_between_requests() const {
+    return state_ == State::ReadingRequest && !reader_.started() && unread_.empty();
+  }
+  void do_nothing() {}
+  void dispatch_upload();
+  void dispatch_request();
+  void finish_upload();
+  void on_stream_written();
+  bool is_too_slow(double now) const;
+  void enforce_request_timeout(double now);
+  void respond_with_error();
+  void abandon_upload();
+  void read_next_request();
+  bool may_be_last_response(bool last) const;
+  void stop_reading_requests(bool client_is_done);
+  void start_lingering();
+  void close_now();
+  void reset_now();
 
   void on_received(std::string_view bytes) override;
-  void on_written() override { turn(Input::Written); }
-  void on_ended(TcpConnection::End) override { turn(Input::Ended); }
-  void take_in();
-  void note_arrival();
+  void on_written() override { apply(Input::Written); }
+  void on_ended(TcpConnection::End) override { apply(Input::Ended); }
+  void parse_input();
+  void update_arrival_time();
   void read_ahead();
 
   Loop& loop_;
   Owner& owner_;
   TcpConnection tcp_;
   HttpReader reader_;
-  BufferChain unread_;
-  State state_ = State::Reading;
-  bool keep_alive_ = true, continued_ = false, asked_ = false, parts_ = false, to_head_ = false, old_ = false,
-       chunks_ = false, paused_ = false;
-  bool reads_out_ = false;  // what still comes is no request, and is read so that its end is no reset
+  BufferChain unread_;  // received, but not yet parsed
+  State state_ = State::ReadingRequest;
+  bool keep_alive_ = true;
+  bool continue_sent_ = false;
+  bool has_sent_request_ = false;
+  bool closes_after_response_ = false;
+  bool is_head_request_ = false;
+  bool is_http_1_0_ = false;
+  bool chunks_response_ = false;
+  bool read_ahead_full_ = false;  // reading was stopped because enough pipelined input is buffered
+  // Further input is not a request. It is read and discarded, so that closing does not reset the connection.
+  bool discards_input_ = false;
   const int listener_;
-  double used_, heard_, held_since_ = 0;
-  double came_;  // when the last byte of what is read may have come, at the earliest
+  double last_progress_;
+  double last_received_;
+  double paused_since_ = 0;
+  double arrived_at_;  // the earliest time at which the last byte read may have arrived
   LifetimeToken alive_;
 };
 
--- a/src/proxy/downstream_connections.cpp
+++ b/src/proxy/downstream_connections.cpp
@@ -8,27 +8,33 @@
 namespace puffinvane {
 
 namespace {
-constexpr double kSweep = 0.05;    // seconds: what clients that stop are owed at the latest leaves no more
-constexpr double kAtOnce = 0.02;   // where only so many may come: whole calls take no longer
-constexpr double kStopped = 0.3;   // and one that has begun it, for its next byte
-constexpr double kRead = 0.5;      // after which an answer has reached its client
-constexpr double kReadOut = 0.02;  // for what is on its way when a connection is shut
-constexpr double kNewcomer = 0.1;  // seconds that a new connection has for its first request when all is full
-constexpr double kBetweenLooks = 0.005;
-constexpr std::size_t kPart = 8,
-                      kMostSpare = 64;  // of the places for clients, that are made free ahead of need
+// Seconds between two checks of all timeouts; the timeouts of DownstreamConnection leave no slack for more.
+constexpr double kTimeoutCheckInterval = 0.05;
+// Seconds that a connection without a whole request may be silent before it can be closed to make room: with
+// a fixed maximum of connections, whose callers send whole requests in less;
+constexpr double kMaxSilenceAtFixedLimit = 0.02;
+// otherwise, if a part of its first request has been read;
+constexpr double kMaxSilenceWithinRequest = 0.3;
+// and if nothing has been read.
+constexpr double kMaxSilenceBeforeRequest = 0.1;
+constexpr double kResponseReadTime = 0.5;  // seconds after which a response has reached its client
+constexpr double kMinLinger = 0.02;        // seconds for input that is in transit when a connection is closed
+constexpr double kReclaimInterval = 0.005;  // seconds between two searches for connections to close
+// Part of the connection limit that is freed ahead of need, and its upper bound.
+constexpr std::size_t kSpareDivisor = 8;
+constexpr std::size_t kMaxSpare = 64;
 }  // namespace
 
 DownstreamConnections::DownstreamConnections(Loop& loop, ConnectionLimiter& limiter, RequestHandler& handler,
-                                             std::size_t most_body, std::size_t most,
-                                             std::size_t most_streamed)
+                                             std::size_t max_body, std::size_t max_connections,
+                                             std::size_t max_streamed)
     : loop_(loop),
       limiter_(limiter),
       handler_(handler),
-      most_body_(most_body),
-      max_connections_(most),
-      most_streamed_(most_streamed) {
-  sweep();
+      max_body_(max_body),
+      max_connections_(max_connections),
+      max_streamed_(max_streamed) {
+  check_all_timeouts();
 }
 
 bool DownstreamConnections::has_room() {
@@ -42,25 +48,26 @@
 }
 
 void DownstreamConnections::on_accepted(Ref<GSocket> socket, int listener, double waited) {
-  enter(std::move(socket), listener, waited, false);
+  add(std::move(socket), listener, waited, false);
 }
-void DownstreamConnections::take_over(Ref<GSocket> socket, bool asked) {
-  enter(std::move(socket), 0, 0, asked);
+void DownstreamConnections::take_over(Ref<GSocket> socket, bool has_sent_request) {
+  add(std::move(socket), 0, 0, has_sent_request);
 }
 
-void DownstreamConnections::enter(Ref<GSocket> socket, int listener, double waited, bool asked) {
+void DownstreamConnections::add(Ref<GSocket> socket, int listener, double waited, bool has_sent_request) {
   auto downstream = std::make_unique<DownstreamConnection>(loop_, *this, std::move(socket), listener, waited,
-                                                           most_body_, most_streamed_, asked);
+                                                           max_body_, max_streamed_, has_sent_request);
   const DownstreamConnection* key = downstream.get();
   connections_.emplace(key, std::move(downstream));
 }
 
-void DownstreamConnections::hand_over(const std::function<bool(GSocket* client, bool asked)>& take) {
-  std::vector<DownstreamConnection*> between;
+void DownstreamConnections::hand_over(
+    const std::function<bool(GSocket* client, bool has_sent_request)>& take) {
+  std::vector<DownstreamConnection*> transferable;
   for (auto& [key, downstream] : connections_) {
-    if (downstream->transferable_socket()) between.push_back(downstream.get());
+    if (downstream->transferable_socket()) transferable.push_back(downstream.get());
   }
-  for (DownstreamConnection* downstream : between) {
+  for (DownstreamConnection* downstream : transferable) {
     if (!take(downstream->transferable_socket(), downstream->has_sent_request())) return;
     downstream->release_transferred_socket();
   }
@@ -77,47 +84,52 @@
   loop_.delete_later(std::move(owned));
 }
 
-// Some places are made free ahead of need: a connection that rests is shut first and closed once it was read
-// out, and made free one by one at the moment that somebody knocks, that held up whoever waited behind.
+// Frees some connections ahead of need. An idle connection is first shut down and only closed once its
+// remaining input is read; freeing one at a time, at the moment a client connects, delayed the clients queued
+// behind.
 void DownstreamConnections::make_room() {
-  const std::size_t places = max_connections_ > 0 ? max_connections_ : limiter_.max_downstream_connections();
-  const std::size_t left = places - std::min(places, connections_.size());
-  const std::size_t spare = max_connections_ > 0 ? 1 : std::clamp<std::size_t>(places / kPart, 1, kMostSpare);
+  const std::size_t limit = max_connections_ > 0 ? max_connections_ : limiter_.max_downstream_connections();
+  const std::size_t left = limit - std::min(limit, connections_.size());
+  const std::size_t spare =
+      max_connections_ > 0 ? 1 : std::clamp<std::size_t>(limit / kSpareDivisor, 1, kMaxSpare);
   const bool full = !has_room();
   const double now = loop_.now();
-  if (!full && (left >= spare || now < looked_ + kBetweenLooks)) return;
-  looked_ = now;
-  const std::size_t wanted = std::max(spare, full ? left + 1 : 0);  // full for want of memory, say
-  // Nothing was taken from any of them. Those that never said a word go first, then those that stopped amid
-  // their first request, by how long they have been silent: crowds that only connect would else push out
-  // clients that are slow by right, or between two requests.
-  enum Rank { Silent, ReadOut, Stopped, Resting };
-  std::vector<std::tuple<Rank, double, DownstreamConnection*>> ripe;
+  if (!full && (left >= spare || now < last_reclaim_ + kReclaimInterval)) return;
+  last_reclaim_ = now;
+  // `full` with some connections left means that memory or descriptors have run out: one more has to go then.
+  const std::size_t wanted = std::max(spare, full ? left + 1 : 0);
+  // None of the candidates has a request in flight. Clients that never sent anything are closed first,
+  // then lingering connections, then those that stopped within their first request, and idle ones last; the
+  // longest silent first within each group. In any other order, crowds of clients that only connect would
+  // displace clients that are merely slow or between two requests.
+  enum Rank { Silent, LingeredEnough, Stalled, Idle };
+  std::vector<std::tuple<Rank, double, DownstreamConnection*>> candidates;
   std::size_t free = left;
   for (auto& [key, downstream] : connections_) {
     if (downstream->awaits_first_request()) {
-      if (!downstream->has_no_unread_input()) continue;  // what it has sent was only not read yet
-      double silent = max_connections_ > 0                ? kAtOnce
-                      : downstream->has_partial_request() ? kStopped
-                                                          : kNewcomer;
-      if (now - downstream->last_received() > silent)
-        ripe.emplace_back(downstream->has_partial_request() ? Stopped : Silent, downstream->last_received(),
-                          downstream.get());
+      if (!downstream->has_no_unread_input()) continue;  // its input is not read yet
+      double max_silence = max_connections_ > 0                ? kMaxSilenceAtFixedLimit
+                           : downstream->has_partial_request() ? kMaxSilenceWithinRequest
+                                                               : kMaxSilenceBeforeRequest;
+      if (now - downstream->last_received() > max_silence)
+        candidates.emplace_back(downstream->has_partial_request() ? Stalled : Silent,
+                                downstream->last_received(), downstream.get());
     } else if (downstream->is_lingering()) {
-      if (now - downstream->last_progress() > kReadOut)
-        ripe.emplace_back(ReadOut, downstream->last_progress(), downstream.get());
+      if (now - downstream->last_progress() > kMinLinger)
+        candidates.emplace_back(LingeredEnough, downstream->last_progress(), downstream.get());
       else ++free;
-    } else if (downstream->is_idle() && (full || now - downstream->last_progress() > kRead)) {
-      ripe.emplace_back(Resting, downstream->last_progress(), downstream.get());
+    } else if (downstream->is_idle() && (full || now - downstream->last_progress() > kResponseReadTime)) {
+      candidates.emplace_back(Idle, downstream->last_progress(), downstream.get());
     }
   }
-  std::sort(ripe.begin(), ripe.end());
-  for (auto& [rank, since, downstream] : ripe) {
+  std::sort(candidates.begin(), candidates.end());
+  for (auto& [rank, since, downstream] : candidates) {
     if (free >= wanted) return;
-    // Closed over a request that crosses, its answer of just now would be lost with the connection: it makes
-    // room when it has had time to be read.
-    bool at_once = rank != Resting || (!has_room() && now - since > kRead);
-    at_once ? downstream->close() : downstream->close_gracefully();
+    // If a request crosses the close of an idle connection, the connection is reset and a response that the
+    // client has not read yet is lost. So it is closed at once only after time enough to read the response.
+    bool close_at_once = rank != Idle || (!has_room() && now - since > kResponseReadTime);
+    if (close_at_once) downstream->close();
+    else downstream->close_gracefully();
     ++free;
   }
 }
@@ -132,20 +144,22 @@
 }
 
 void DownstreamConnections::close_listener(int listener) {
-  std::vector<DownstreamConnection*> theirs;
+  std::vector<DownstreamConnection*> accepted;
   for (auto& [key, downstream] : connections_) {
-    if (downstream->listener() == listener) theirs.push_back(downstream.get());
+    if (downstream->listener() == listener) accepted.push_back(downstream.get());
+  }
+  for (DownstreamConnection* downstream : accepted) {
+    if (downstream->is_idle()) downstream->close_gracefully();
+    else downstream->close_after_next_response();
   }
-  for (DownstreamConnection* downstream : theirs)
-    downstream->is_idle() ? downstream->close_gracefully() : downstream->close_after_next_response();
 }
 
-void DownstreamConnections::sweep() {
+void DownstreamConnections::check_all_timeouts() {
   double now = loop_.now();
   std::vector<DownstreamConnection*> all;
   for (auto& [key, downstream] : connections_) all.push_back(downstream.get());
   for (DownstreamConnection* downstream : all) downstream->check_timeouts(now);
-  loop_.at(now + kSweep, alive_.guard([this] { sweep(); }));
+  loop_.at(now + kTimeoutCheckInterval, alive_.guard([this] { check_all_timeouts(); }));
 }
 
 }  // namespace puffinvane
--- a/src/proxy/downstream_connections.h
+++ b/src/proxy/downstream_connections.h
@@ -1,4 +1,4 @@
-// Everybody who is connected, whichever listener they came in by.
+// All downstream connections of a process, over all of its listeners.
 #pragma once
 
 #include <functional>
@@ -19,25 +19,27 @@
     virtual void on_request(DownstreamConnection& downstream, HttpMessage message) = 0;
   };
 
-  // most: of them, whatever else is admitted; none: as many as there is room for.
+  // max_connections: a fixed limit; 0: as many as the connection limiter allows.
   DownstreamConnections(Loop& loop, ConnectionLimiter& limiter, RequestHandler& handler,
-                        std::size_t most_body = HttpReader::kMaxBodyBytes, std::size_t most = 0,
-                        std::size_t most_streamed = 0);
+                        std::size_t max_body = HttpReader::kMaxBodyBytes, std::size_t max_connections = 0,
+                        std::size_t max_streamed = 0);
 
   bool empty() const { return connections_.empty(); }
   std::size_t max_connections() const { return max_connections_; }
-  void close_after_responses(bool on) {
-    close_after_responses_ = on;
-  }  // answers are the last on their connections from here on
-  void set_longest_client_timeout(double seconds) {
-    longest_client_timeout_ = seconds;
-  }                                         // of a client for its answer
-  void close_idle(double longer_than = 0);  // seconds
-  void close_listener(int listener);        // who came in by it gets the answer in hand, and that is the last
+  // While on, every connection is closed after its next response.
+  void close_after_responses(bool on) { close_after_responses_ = on; }
+  // The longest client timeout of any request class.
+  void set_longest_client_timeout(double seconds) { longest_client_timeout_ = seconds; }
+  // Closes the connections that have been idle for at least that many seconds.
+  void close_idle(double longer_than = 0);
+  // Closes the connections that this listener accepted: idle ones at once, the others after the response to
+  // the request in flight.
+  void close_listener(int listener);
 
-  // Those between two requests, to whoever takes them: `take` says whether it did.
-  void hand_over(const std::function<bool(GSocket* client, bool asked)>& take);
-  void take_over(Ref<GSocket> socket, bool asked);
+  // Offers the socket of each connection that is between two requests to `take`, which returns whether it has
+  // taken the socket over. Stops at the first refusal.
+  void hand_over(const std::function<bool(GSocket* client, bool has_sent_request)>& take);
+  void take_over(Ref<GSocket> socket, bool has_sent_request);
 
   bool may_accept() override;
   void on_accepted(Ref<GSocket> socket, int listener, double waited) override;
@@ -48,17 +50,18 @@
   bool closes_after_response() const override { return close_after_responses_; }
   std::size_t max_buffered_body() const override { return limiter_.max_buffered_body(); }
   double longest_client_timeout() const override { return longest_client_timeout_; }
-  void enter(Ref<GSocket> socket, int listener, double waited, bool asked);
+  void add(Ref<GSocket> socket, int listener, double waited, bool has_sent_request);
   bool has_room();
   void make_room();
-  void sweep();
+  void check_all_timeouts();
 
   Loop& loop_;
   ConnectionLimiter& limiter_;
   RequestHandler& handler_;
-  const std::size_t most_body_, max_connections_, most_streamed_;
+  const std::size_t max_body_, max_connections_, max_streamed_;
   bool close_after_responses_ = false;
-  double longest_client_timeout_ = 6, looked_ = 0;  // looked: for whom to shut
+  double longest_client_timeout_ = 6;
+  double last_reclaim_ = 0;  // when make_room last searched for connections to close
   std::unordered_map<const DownstreamConnection*, std::unique_ptr<DownstreamConnection>> connections_;
   LifetimeToken alive_;
 };
