--- a/src/http/headers.h
+++ b/src/http/headers.h
@@ -1,4 +1,4 @@
-// The values of the headers that sidecars, their clients and endpoints understand each other by.
+// Values of the HTTP headers that clients, sidecars and endpoints exchange.
 #pragma once
 
 #include <optional>
@@ -10,25 +10,32 @@
 
 namespace puffinvane {
 
-std::string_view request_class_of(std::string_view target);              // the first part of the path
-std::optional<double> parse_remaining_deadline(std::string_view value);  // "480m" or "480000u", in seconds
+// The first segment of the path.
+std::string_view request_class_of(std::string_view target);
+// A value of X-Time-Left, such as "480m" (milliseconds) or "480000u" (microseconds), in seconds; nothing if
+// it is malformed.
+std::optional<double> parse_remaining_deadline(std::string_view value);
 std::string format_remaining_deadline(double seconds);
-std::string format_retry_after(double seconds);  // of Retry-After, decimal
-Load parse_load(std::string_view value);         // "inflight=7,queue=2,qps=40,util=0.61"
-// What a client says of its request beside the path: "key=track-7,hint=0.12", in X-Facts.
+// A value of Retry-After: seconds with three decimals.
+std::string format_retry_after(double seconds);
+// A value of X-Backend-Load, such as "inflight=7,queue=2,qps=40,util=0.61".
+Load parse_load(std::string_view value);
+// What a client states in X-Facts about its request, such as "key=track-7,hint=0.12".
 struct RequestFacts {
   std::string_view key;
-  double work = 0;
+  double work = 0;  // seconds; 0: not stated
 };
 RequestFacts parse_request_facts(std::string_view value);
 
-// What is left of its client's time, at most 'most'; nothing if a request says it in a way that can't be
-// read.
-std::optional<double> remaining_deadline_of(const HttpMessage& request, double most);
+// Seconds until the client's deadline by X-Time-Left, at most max_seconds, which also applies without the
+// header; nothing if the header is malformed or repeated.
+std::optional<double> remaining_deadline_of(const HttpMessage& request, double max_seconds);
 
-Outcome outcome_of(const HttpMessage& answer);
-// Where endpoints are servers like any other: what isn't their fault is their answer, whatever its status.
-Outcome outcome_of_any_status(const HttpMessage& answer);
-Outcome outcome_of_disconnect(bool written);  // written: the request's last byte
+// The outcome of an attempt whose response follows the sidecar protocol: only 200 is a success.
+Outcome outcome_of(const HttpMessage& response);
+// The same for endpoints that are ordinary HTTP servers: any status below 500 is a success.
+Outcome outcome_of_any_status(const HttpMessage& response);
+// The outcome if the connection breaks without a response. written: the whole request had been written.
+Outcome outcome_of_disconnect(bool written);
 
 }  // namespace puffinvane
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages, read as their bytes come and written whole. No sockets here.
+// HTTP/1.1 messages: an incremental parser, and functions that serialize messages. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -17,18 +17,20 @@
 
 struct HttpMessage {
   explicit HttpMessage(BufferPool& pool) : body(pool) {}
-  std::string_view header(std::string_view name) const;  // empty if there is none
-  int header_count(std::string_view name) const;         // how often a header stands there
+  // The value of the first header of that name; empty if there is none.
+  std::string_view header(std::string_view name) const;
+  int header_count(std::string_view name) const;  // how many headers have that name
 
   std::string method, target;  // of a request
-  int status = 0;              // of an answer
+  int status = 0;              // of a response
   bool keep_alive = true, expects_continue = false;
-  bool is_http_1_0 = false;  // such a client cannot read chunked encoding
+  bool is_http_1_0 = false;  // the client cannot read chunked encoding
   std::vector<Header> headers;
   BufferChain body;
 };
 
-bool same_name(std::string_view one, std::string_view other);  // header names differ in case at will
+// Compares header names, ignoring case.
+bool same_name(std::string_view one, std::string_view other);
 
 class HttpReader {
  public:
@@ -37,80 +39,101 @@
   static constexpr std::size_t kMaxHeadBytes = 16 * 1024, kMaxBodyBytes = 64 * 1024;
   static constexpr std::size_t kMaxStreamedBodyBytes = 32u << 20;
 
-  // Bodies over most_body are faults, unless they may be taken in parts, up to most_streamed.
-  HttpReader(Side side, BufferPool& pool, std::size_t most_body = kMaxBodyBytes,
-             std::size_t most_streamed = 0)
+  // A body larger than max_body is a fault. With max_streamed > 0 the body can be taken out in parts while it
+  // is received, and its whole length is limited by the larger of the two.
+  HttpReader(Side side, BufferPool& pool, std::size_t max_body = kMaxBodyBytes, std::size_t max_streamed = 0)
       : side_(side),
         pool_(&pool),
-        most_body_(std::max(most_body, most_streamed)),
-        streams_(most_streamed > 0),
+        max_body_(std::max(max_body, max_streamed)),
+        is_streaming_(max_streamed > 0),
         message_(pool) {}
 
-  // Returns how many bytes it used: after a whole message or a fault it takes no more.
+  // Returns the number of bytes consumed. Consumes nothing after the end of a message or after a fault.
   std::size_t feed(std::string_view bytes);
-  void end_of_input();  // the connection ended: that is the end of an answer that says no length
-  bool is_complete() const { return state_ == State::Whole; }
-  // One empty line is what some leave behind a body; more of them are a head that never ends.
-  bool started() const { return state_ != State::Start || !line_.empty() || head_ > 2; }
-  bool in_body() const { return state_ >= State::Body && state_ < State::Whole; }
+  // The connection was closed: completes a response whose body ends with the connection.
+  void end_of_input();
+  bool is_complete() const { return state_ == State::Complete; }
+  // Whether any part of a message was received. One empty line does not count, as some clients send one after
+  // a body; more count, so that endless empty lines meet the head timeout.
+  bool started() const { return state_ != State::StartLine || !line_.empty() || head_bytes_ > 2; }
+  bool in_body() const { return state_ >= State::Body && state_ < State::Complete; }
   Fault fault() const { return fault_; }
-  bool is_streaming() const { return streams_; }
-  std::optional<std::size_t> content_length() const {
-    return declared_;
-  }  // its body's length, once the head is read
-  std::size_t body_bytes_received() const { return seen_; }
-  HttpMessage take_head();  // the message, with what there is of its body; what follows comes as take_part
+  bool is_streaming() const { return is_streaming_; }
+  // The value of Content-Length, known once the head is complete.
+  std::optional<std::size_t> content_length() const { return content_length_; }
+  std::size_t body_bytes_received() const { return body_bytes_; }
+  // Takes the head and the body received so far; the rest of the body is taken with take_body_part.
+  HttpMessage take_head();
   BufferChain take_body_part();
+  std::string take_body_text();  // the same as text
   const HttpMessage& message() const { return message_; }
+  // Takes the message and resets the reader for the next one.
   HttpMessage take();
-  // The answer to a HEAD says how long it would be and is not.
+  // For the response to a HEAD request, which has a Content-Length but no body.
   void expect_no_body(bool none) { no_body_ = none; }
-  std::string take_body_text();  // of an answer that goes on: what has come by now
 
  private:
-  enum class State { Start, Headers, Body, ChunkSize, Chunk, ChunkEnd, Trailers, ToEnd, Whole, Bad };
-  using Step = void (HttpReader::*)();
-  static const Step kLineSteps[];
+  // BodyToEnd: the body ends where the connection is closed.
+  enum class State {
+    StartLine,
+    Headers,
+    Body,
+    ChunkSize,
+    Chunk,
+    ChunkEnd,
+    Trailers,
+    BodyToEnd,
+    Complete,
+    Failed
+  };
+  using LineHandler = void (HttpReader::*)();
+  static const LineHandler kLineHandlers[];
 
-  void fail(Fault fault) { state_ = State::Bad, fault_ = fault; }
-  void start_line();
-  void request_line();
-  void status_line();
-  void header_line();
-  void chunk_size_line();
-  void chunk_end_line();
-  void trailer_line();
-  void head_done();
+  void fail(Fault fault) {
+    state_ = State::Failed;
+    fault_ = fault;
+  }
+  void handle_start_line();
+  void handle_request_line();
+  void handle_status_line();
+  void handle_header_line();
+  void handle_chunk_size_line();
+  void handle_chunk_end_line();
+  void handle_trailer_line();
+  void finish_head();
   bool add_body(std::string_view bytes);
 
   Side side_;
   BufferPool* pool_;
-  std::size_t most_body_;
-  bool streams_;
-  std::optional<std::size_t> declared_;
-  std::size_t seen_ = 0;  // of the body
+  std::size_t max_body_;
+  bool is_streaming_;
+  std::optional<std::size_t> content_length_;
+  std::size_t body_bytes_ = 0;
   HttpMessage message_;
-  State state_ = State::Start;
+  State state_ = State::StartLine;
   Fault fault_ = Fault::None;
   bool no_body_ = false;
   std::string line_;
-  std::size_t head_ = 0, left_ = 0;
+  std::size_t head_bytes_ = 0;  // of the start line and headers, or of the current chunk line or trailers
+  std::size_t left_ = 0;        // bytes until the end of the body or chunk
 };
 
-// Headers that belong to one connection or that each hop words anew are not passed on.
+// False for headers that belong to a single connection, and for those that each hop sets anew.
 bool is_forwarded_header(std::string_view header);
-// Of a body that comes in parts; size: all of it, where that is known, else it goes in chunks.
+// How the end of a body is marked that is sent in parts: by Content-Length, by closing the connection, or,
+// with neither, by chunked encoding.
 struct BodyFraming {
   std::optional<std::size_t> size;
-  bool to_end = false;  // neither: its end is the connection's
+  bool to_end = false;  // the body ends where the connection is closed
 };
-// With parts only the head is written.
+// With a framing only the head is written; the caller sends the body.
 void write_request(BufferChain& out, const HttpMessage& request, std::string_view host,
-                   std::string_view time_left, std::optional<BodyFraming> parts = {});
-void write_response_head(BufferChain& out, const HttpMessage& from, BodyFraming parts, bool close);
+                   std::string_view remaining_deadline, std::optional<BodyFraming> framing = {});
+void write_response_head(BufferChain& out, const HttpMessage& from, BodyFraming framing, bool close);
 void write_chunk(BufferChain& out, const BufferChain& bytes);
 void write_last_chunk(BufferChain& out);
+// Writes a whole response: its headers and body are those of `from`, or else its body is `text`.
 void write_response(BufferChain& out, int status, const HttpMessage* from, std::string_view more_headers,
-                    std::string_view text, bool close, bool to_head = false);
+                    std::string_view text, bool close, bool is_head_request = false);
 
 }  // namespace puffinvane
