--- a/src/proxy/wire_test.cpp
+++ b/src/proxy/wire_test.cpp
@@ -1,4 +1,5 @@
-// Short tests of what is spoken on the wire and kept in memory; no sockets but for none.
+// Unit tests of the HTTP parser and headers, endpoint lists, settings, buffers, idle connections and the
+// loop.
 #include <sys/epoll.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -24,13 +25,14 @@
 
 namespace {
 
-// Feeds the bytes in two parts, cut at every place, and byte by byte: what comes out must not depend on it.
+// Feeds the bytes in two parts, split at each position in turn, and then byte by byte. The result must not
+// depend on how the bytes are split.
 template <typename Check>
-void at_every_cut(Side side, const std::string& bytes, Check check) {
+void at_every_split(Side side, const std::string& bytes, Check check) {
   BufferPool pool;
-  for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
+  for (std::size_t split = 0; split <= bytes.size(); ++split) {
     HttpReader reader(side, pool);
-    std::size_t used = reader.feed(std::string_view(bytes).substr(0, cut));
+    std::size_t used = reader.feed(std::string_view(bytes).substr(0, split));
     used += reader.feed(std::string_view(bytes).substr(used, bytes.size() - used));
     check(reader, used);
   }
@@ -40,11 +42,11 @@
   check(reader, used);
 }
 
-void a_request_reads_the_same_wherever_it_is_cut() {
+void a_request_is_parsed_the_same_wherever_it_is_split() {
   std::string request =
       "POST /checkout/a?b=c HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: 9b1f\r\nx-account:  acme \r\n"
       "Content-Length: 5\r\n\r\nhello";
-  at_every_cut(Side::Request, request + "GET /", [&](HttpReader& reader, std::size_t used) {
+  at_every_split(Side::Request, request + "GET /", [&](HttpReader& reader, std::size_t used) {
     assert(reader.is_complete() && used == request.size());
     HttpMessage message = reader.take();
     assert(message.method == "POST" && message.target == "/checkout/a?b=c" && message.keep_alive);
@@ -53,36 +55,36 @@
   });
 }
 
-void a_chunked_answer_reads_the_same_wherever_it_is_cut() {
-  std::string answer =
+void a_chunked_response_is_parsed_the_same_wherever_it_is_split() {
+  std::string response =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: "
       "close\r\n\r\n"
       "4;x=y\r\nabcd\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\n";
-  at_every_cut(Side::Response, answer, [&](HttpReader& reader, std::size_t used) {
-    assert(reader.is_complete() && used == answer.size());
+  at_every_split(Side::Response, response, [&](HttpReader& reader, std::size_t used) {
+    assert(reader.is_complete() && used == response.size());
     HttpMessage message = reader.take();
     assert(message.status == 200 && message.body.text() == "abcd0123456789" && !message.keep_alive);
     assert(message.header("Trailer").empty());
   });
 }
 
-void an_answer_without_a_length_ends_with_its_connection_and_one_with_a_length_does_not() {
+void the_end_of_the_connection_completes_only_a_response_without_a_length() {
   BufferPool pool;
-  HttpReader open(Side::Response, pool);
-  open.feed("HTTP/1.1 200 OK\r\n\r\npart");
-  assert(!open.is_complete());
-  open.end_of_input();
-  assert(open.is_complete() && open.message().body.text() == "part" && !open.message().keep_alive);
-  HttpReader cut(Side::Response, pool);
-  cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
-  cut.end_of_input();
-  assert(!cut.is_complete());
+  HttpReader unsized(Side::Response, pool);
+  unsized.feed("HTTP/1.1 200 OK\r\n\r\npart");
+  assert(!unsized.is_complete());
+  unsized.end_of_input();
+  assert(unsized.is_complete() && unsized.message().body.text() == "part" && !unsized.message().keep_alive);
+  HttpReader truncated(Side::Response, pool);
+  truncated.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
+  truncated.end_of_input();
+  assert(!truncated.is_complete());
   HttpReader none(Side::Response, pool);
   none.feed("HTTP/1.1 204 No Content\r\n\r\n");
   assert(none.is_complete());
 }
 
-void what_can_be_read_in_two_ways_is_refused() {
+void malformed_and_ambiguous_messages_are_rejected() {
   for (const char* bad :
        {"nonsense\r\n\r\n", "GET  HTTP/1.1\r\n", "GET /a b HTTP/1.1\r\n", "GET /a HTTP/2.0\r\n",
         "GET a HTTP/1.1\r\n", "GET /a HTTP/1.1\r\nNo colon\r\n", "GET /a HTTP/1.1\r\nSpaced : x\r\n",
@@ -96,18 +98,18 @@
         "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
         "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"}) {
-    at_every_cut(Side::Request, bad, [&](HttpReader& reader, std::size_t) {
+    at_every_split(Side::Request, bad, [&](HttpReader& reader, std::size_t) {
       assert(reader.fault() == Fault::Malformed && !reader.is_complete());
     });
   }
   for (const char* bad : {"HTTP/1.1 20 OK\r\n", "HTTP/1.1 2000 OK\r\n", "ICY 200 OK\r\n", "HTTP/1.1 abc\r\n",
                           "HTTP/1.1 200 OHTTP/1.1 500 Oops\r\n"}) {
-    at_every_cut(Side::Response, bad,
-                 [](HttpReader& reader, std::size_t) { assert(reader.fault() == Fault::Malformed); });
+    at_every_split(Side::Response, bad,
+                   [](HttpReader& reader, std::size_t) { assert(reader.fault() == Fault::Malformed); });
   }
 }
 
-void what_is_too_large_is_refused_before_it_is_kept() {
+void oversized_heads_and_bodies_are_rejected_before_they_are_buffered() {
   BufferPool pool;
   HttpReader head(Side::Request, pool);
   head.feed("GET /a HTTP/1.1\r\n");
@@ -117,9 +119,9 @@
   HttpReader line(Side::Request, pool);
   line.feed("GET /" + std::string(20000, 'x'));
   assert(line.fault() == Fault::HeadTooLarge);
-  HttpReader notified(Side::Request, pool);
-  notified.feed("POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
-  assert(notified.fault() == Fault::BodyTooLarge);
+  HttpReader declared(Side::Request, pool);
+  declared.feed("POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n");
+  assert(declared.fault() == Fault::BodyTooLarge);
   HttpReader chunks(Side::Request, pool);
   chunks.feed("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (int i = 0; i < 17; ++i) chunks.feed("1000\r\n" + std::string(4096, 'x') + "\r\n");
@@ -129,7 +131,7 @@
   assert(most.is_complete());
 }
 
-void interim_answers_without_end_are_a_head_without_end() {
+void endless_interim_responses_exceed_the_head_limit() {
   BufferPool pool;
   HttpReader reader(Side::Response, pool);
   for (int i = 0; i < 20 && reader.fault() == Fault::None; ++i) reader.feed("HTTP/1.1 103 Early\r\n\r\n");
@@ -138,11 +140,11 @@
   assert(reader.fault() == Fault::HeadTooLarge);
 }
 
-void a_request_counts_as_begun_from_its_first_byte() {
+void a_request_counts_as_started_from_its_first_byte() {
   BufferPool pool;
   HttpReader reader(Side::Request, pool);
   reader.feed("\r\n");
-  assert(!reader.started());  // left behind by the request before
+  assert(!reader.started());  // an empty line after the body of the request before
   reader.feed("\r\n");
   assert(reader.started());
   reader.take();
@@ -151,15 +153,18 @@
   assert(reader.started());
 }
 
-void many_small_chunks_are_no_large_head() {
+void many_small_chunks_do_not_exceed_the_head_limit() {
   BufferPool pool;
   HttpReader reader(Side::Response, pool);
   reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  for (int i = 0; i < 20000; ++i) reader.feed("1\r\nx\r\n"), reader.take_body_text();
+  for (int i = 0; i < 20000; ++i) {
+    reader.feed("1\r\nx\r\n");
+    reader.take_body_text();
+  }
   assert(reader.fault() == Fault::None && reader.in_body());
 }
 
-void a_request_goes_on_unchanged_but_for_what_belongs_to_one_connection() {
+void a_forwarded_request_loses_only_hop_by_hop_headers() {
   BufferPool pool;
   HttpReader reader(Side::Request, pool);
   reader.feed(
@@ -173,7 +178,7 @@
          "X-Time-Left: 250000u\r\nContent-Length: 2\r\n\r\nhi");
 }
 
-void an_answer_goes_on_whole_and_unchanged() {
+void a_forwarded_response_keeps_its_body_and_end_to_end_headers() {
   BufferPool pool;
   std::string body(40000, 'z');
   HttpReader reader(Side::Response, pool);
@@ -188,7 +193,7 @@
   assert(again.message().header("Content-Type") == "t" && again.message().header("X-Backend-Load").empty());
 }
 
-void header_values_are_read_with_their_units_or_not_at_all() {
+void header_values_are_parsed_or_rejected() {
   assert(parse_remaining_deadline("480m") == 0.48 && parse_remaining_deadline("1500u") == 0.0015 &&
          parse_remaining_deadline("0m") == 0.0);
   for (const char* bad : {"", "m", "480", "-1m", "1s", "nanm", "infu", "4 m", "1e999m", "1e2m", "0x9m"})
@@ -208,7 +213,7 @@
   assert(parse_load("queue=2,inflight=7").depth == 7 && parse_load("nonsense,=,queue=x").depth < 0);
 }
 
-void an_answer_means_what_the_protocol_says() {
+void the_outcome_follows_status_and_x_unprocessed() {
   auto outcome = [](const char* bytes) {
     BufferPool pool;
     HttpReader reader(Side::Response, pool);
@@ -225,7 +230,7 @@
          outcome_of_disconnect(true) == Outcome::Broken);
 }
 
-void a_list_is_read_with_its_starts_as_they_are_stated() {
+void an_endpoint_list_is_parsed_with_its_stated_start_times() {
   EndpointList list = parse_endpoint_list(
                           R"({"index":43,"snapshot":false,"endpoints":[
          {"name":"s-1","address":"10.1.0.18:5000","zone":"a","group":3,"status":"leaving","weight":1.5,
@@ -245,7 +250,7 @@
 }
 
 template <typename Act>
-std::string complaint(Act act) {
+std::string error_message(Act act) {
   try {
     act();
   } catch (const std::exception& fault) {
@@ -254,7 +259,7 @@
   return "";
 }
 
-void a_bad_list_or_assignment_is_one_plain_message() {
+void a_malformed_list_or_assignment_yields_an_error_message() {
   for (const char* bad :
        {"", "{", "[]", "{}", R"({"index":1})", R"({"index":1,"endpoints":[{"status":"active"}]})",
         R"({"index":1,"endpoints":[{"name":"a","status":"asleep","address":"b"}]})",
@@ -276,29 +281,30 @@
   for (std::string bad :
        {std::string("[]"), "{" + rest + "}", "{" + rest + R"(,"seed":"xyz","settings":)" + settings + "}",
         "{" + rest + R"(,"seed":"1","settings":{}})", "{" + rest + R"(,"seed":"1"})"})
-    assert(!complaint([&] { assign(bad); }).empty());
-  assert(complaint([] { load_sidecar_config("/nowhere"); }).find("/nowhere") == 0);
-  assert(complaint([] { load_sidecar_config(nullptr); }).find("BALANCER_CONFIG") != std::string::npos);
+    assert(!error_message([&] { assign(bad); }).empty());
+  assert(error_message([] { load_sidecar_config("/nowhere"); }).find("/nowhere") == 0);
+  assert(error_message([] { load_sidecar_config(nullptr); }).find("BALANCER_CONFIG") != std::string::npos);
 }
 
-void lines_are_held_back_until_they_end() {
+void the_list_splitter_returns_only_complete_lines() {
   ListSplitter lines;
   lines.append("one\ntw");
   assert(lines.take_line() == "one" && !lines.take_line());
   lines.append("o\n\n");
   assert(lines.take_line() == "two" && lines.take_line() == "" && !lines.take_line());
-  // Indented lists are whole where their braces close; what stands in quotes closes nothing.
+  // A list that spans several lines is complete where its braces close; braces within strings do not count.
   std::string indented = "{\n  \"a\": [\n    {\"b\": \"}]\\\"{\"}\n  ]\n}";
   lines.append(indented.substr(0, 20));
   assert(!lines.take_line() && lines.ends_inside_list());
   lines.append(indented.substr(20) + "\n\nnext\n");
   assert(lines.take_line() == indented && !lines.ends_inside_list());
   assert(lines.take_line() == "" && lines.take_line() == "next");
-  lines.append("{\"no end\n}\n");  // no text goes over a line's end: that line is over, and can't be read
+  // A string cannot span lines: the line ends here, and is malformed.
+  lines.append("{\"no end\n}\n");
   assert(lines.take_line() && lines.take_line() == "}");
 }
 
-void buffers_are_used_again() {
+void freed_buffers_are_reused() {
   BufferPool pool;
   {
     BufferChain chain(pool);
@@ -307,7 +313,8 @@
     chain.drop(39999);
     assert(pool.in_use() == 1 && chain.front() == "aend");
     BufferChain moved(std::move(chain)), copy(pool);
-    copy.add(moved), copy.add(moved);
+    copy.add(moved);
+    copy.add(moved);
     assert(copy.text() == "aendaend" && chain.empty());
     moved = std::move(copy);
     assert(moved.size() == 8 && pool.in_use() == 1);
@@ -317,7 +324,7 @@
   assert(pool.free_count() == 2);
 }
 
-void the_last_used_idle_connection_goes_out_first_and_the_oldest_closes() {
+void idle_connections_are_taken_most_recent_first_and_closed_oldest_first() {
   IdleConnections<int> idle;
   for (int i = 0; i < 3; ++i) idle.add("a", std::make_unique<int>(i), 10 + i);
   idle.add("b", std::make_unique<int>(9), 10.5);
@@ -330,32 +337,36 @@
          idle.count("b") == 0);
 }
 
-void kept_connections_are_doubted_by_how_the_last_ones_fared() {
+void idle_times_after_which_connections_were_reset_are_likely_stale() {
   IdleReuseHistory uses;
   for (int i = 0; i < 200; ++i) uses.record(0.01, false), uses.record(0.3, i % 6 == 0);
   assert(uses.likely_stale(0.3) && uses.likely_stale(5) && !uses.likely_stale(0.02));
   for (int i = 0; i < 64; ++i) uses.record(0.3, i == 5);
-  assert(!uses.likely_stale(0.3));  // one alone is chance
+  assert(!uses.likely_stale(0.3));  // a single reset may be chance
 }
 
-void an_endpoint_that_moved_is_noticed() {
+void an_endpoint_with_a_new_address_is_reported_as_stale() {
   EndpointAddresses addresses;
   using Names = std::vector<std::string>;
   assert(addresses.assign("a", "1:1").empty() && addresses.assign("a", "1:1").empty());
   assert(addresses.assign("a", "2:2") == Names{"a"} && *addresses.find("a") == "2:2" && !addresses.find("b"));
-  assert(addresses.assign("b", "2:2") == Names{"a"} && !addresses.find("a"));  // taken over by a new id
+  assert(addresses.assign("b", "2:2") == Names{"a"} &&
+         !addresses.find("a"));  // another endpoint now has this address
   assert(addresses.assign("c", "3:3").empty() && addresses.not_listed_in({"c", "d"}) == Names{"b"});
   addresses.erase("b");
   assert(!addresses.find("b") && addresses.not_listed_in({}) == Names{"c"});
 }
 
-void the_loop_keeps_the_order_of_alarms_and_puts_off_what_is_asked_for_soon() {
+void timers_run_in_order_and_posted_work_runs_in_the_next_turn() {
   std::ostringstream out;
   Log log(out, Level::Info);
   Loop loop(log, 100);
   std::string order;
   double start = loop.now();
-  loop.at(start + 0.02, [&] { order += 'c', loop.quit(); });
+  loop.at(start + 0.02, [&] {
+    order += 'c';
+    loop.quit();
+  });
   loop.at(start + 0.01, [&] { order += 'b'; });
   loop.at(start - 1, [&] {
     order += 'a';
@@ -370,55 +381,63 @@
   assert(order == "a12bc" && loop.now() >= start + 0.02);
 }
 
-// Two sockets have something to read in one turn. Whichever is heard first closes the other, whose number a
-// new and silent one takes: what was ready before must not be told of that one.
-struct Heard final : SocketEventHandler {
-  Heard(Loop& loop, int& notified) : loop(loop), notified(notified) {
+// Two sockets are readable in the same loop turn. The handler that runs first replaces the other's socket by
+// a new one with the same descriptor and no input. The event of the old socket must not be delivered for the
+// new one.
+struct DescriptorReuser final : SocketEventHandler {
+  DescriptorReuser(Loop& loop, int& events) : loop(loop), events(events) {
     assert(socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
   }
-  ~Heard() override {
+  ~DescriptorReuser() override {
     loop.unwatch(ends[0]);
-    close(ends[0]), close(ends[1]);
+    close(ends[0]);
+    close(ends[1]);
   }
   void on_ready(std::uint32_t) override {
-    ++notified;
-    loop.unwatch(ends[0]), loop.unwatch(other->ends[0]);
+    ++events;
+    loop.unwatch(ends[0]);
+    loop.unwatch(other->ends[0]);
     int fresh[2];
     assert(socketpair(AF_UNIX, SOCK_STREAM, 0, fresh) == 0);
-    dup2(fresh[0], other->ends[0]), dup2(fresh[1], other->ends[1]);
-    close(fresh[0]), close(fresh[1]);
+    dup2(fresh[0], other->ends[0]);
+    dup2(fresh[1], other->ends[1]);
+    close(fresh[0]);
+    close(fresh[1]);
     loop.watch(other->ends[0], EPOLLIN, *other);
   }
   Loop& loop;
-  int& notified;
+  int& events;
   int ends[2];
-  Heard* other = nullptr;
+  DescriptorReuser* other = nullptr;
 };
 
-void a_socket_that_took_the_number_of_one_closed_is_not_told_of_what_that_had() {
+void a_reused_descriptor_gets_no_event_of_the_closed_socket() {
   std::ostringstream text;
   Log log(text, Level::Error);
   Loop loop(log, 100);
-  int notified = 0;
-  Heard one(loop, notified), other(loop, notified);
-  one.other = &other, other.other = &one;
-  for (Heard* each : {&one, &other}) {
+  int events = 0;
+  DescriptorReuser one(loop, events), other(loop, events);
+  one.other = &other;
+  other.other = &one;
+  for (DescriptorReuser* each : {&one, &other}) {
     loop.watch(each->ends[0], EPOLLIN, *each);
     assert(write(each->ends[1], "x", 1) == 1);
   }
   loop.at(loop.now() + 0.02, [&] { loop.quit(); });
   loop.run();
-  assert(notified == 1);
+  assert(events == 1);
 }
 
-void alarms_run_in_order_over_many_milliseconds_and_new_ones_wait_a_turn() {
+void timers_run_in_order_over_many_milliseconds_and_new_ones_wait_a_turn() {
   std::ostringstream text;
   Log log(text, Level::Error);
   Loop loop(log, 100);
   std::vector<int> order;
   double now = loop.now();
   for (int i = 199; i >= 0; --i) loop.at(now + 0.0001 * i, [&order, i] { order.push_back(i); });
-  loop.at(now, [&] { loop.at(now, [&] { order.push_back(-1); }); });  // already due, and not to hold the loop
+  // A timer that is due when it is set has to wait for the next turn, so that such timers cannot block the
+  // loop.
+  loop.at(now, [&] { loop.at(now, [&] { order.push_back(-1); }); });
   loop.at(now + 0.04, [&] { loop.quit(); });
   loop.run();
   assert(order.size() == 201);
@@ -426,7 +445,7 @@
   assert(std::is_sorted(order.begin(), order.end()));
 }
 
-void lines_below_the_level_are_not_written() {
+void log_lines_below_the_level_are_not_written() {
   std::ostringstream out;
   Log log(out, Level::Warning);
   log.info() << "a " << 1;
@@ -435,8 +454,8 @@
          parse_log_level("?") == Level::Info);
 }
 
-// What an operator sets for the move is of use, or the start ends with a word: never a silent default.
-void settings_of_the_new_shape_are_read_or_refused() {
+// A setting with an unusable value is rejected with a message; it must not silently become the default.
+void optional_settings_are_parsed_or_rejected() {
   auto read = [](const std::string& more) {
     simdjson::dom::parser parser;
     std::string text = R"({"PathPrefixes":[{"Name":"read"}],"Limits":{},"Rules":{})" + more + "}";
@@ -445,11 +464,11 @@
   Deployment plain = read("");
   assert(!plain.responses_report_load && !plain.last_tier && !plain.has_key_affinity &&
          plain.cross_zone_price == 0);
-  Deployment moved = read(R"(,"Report":{"Via":"piggyback"},"Tiers":["a","b"],"Layer":1,
+  Deployment with_options = read(R"(,"Report":{"Via":"piggyback"},"Tiers":["a","b"],"Layer":1,
                              "Extra":{"WarmKeys":true},"Fees":{"CrossZone":0.03})");
-  assert(moved.responses_report_load && moved.last_tier && moved.has_key_affinity &&
-         moved.cross_zone_price == 0.03);
-  // A depth told without what is served says nothing of how full the fleet is.
+  assert(with_options.responses_report_load && with_options.last_tier && with_options.has_key_affinity &&
+         with_options.cross_zone_price == 0.03);
+  // A queue depth without the rate of served requests does not tell how full the fleet is.
   assert(read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","served_ps"]})").responses_report_load);
   assert(!read(R"(,"Report":{"Via":"piggyback","Fields":["busy_reqs","cpu_share"]})").responses_report_load);
   assert(!plain.may_use_unlisted_endpoints);
@@ -458,17 +477,17 @@
         R"(,"Extra":{"WarmKeys":"yes"})", R"(,"Extra":{"WarmKeys":null})", R"(,"Fees":{"CrossZone":-0.1})",
         R"(,"Fees":{"CrossZone":"much"})", R"(,"Fees":{"CrossZone":null})", R"(,"Tiers":[])",
         R"(,"Tiers":["a"],"Layer":1)", R"(,"Tiers":"a")", R"(,"Tiers":["a"],"Layer":-1)"}) {
-    bool refused = false;
+    bool is_rejected = false;
     try {
       read(bad);
     } catch (const Malformed& fault) {
-      refused = std::string(fault.what()).size() > 8;
+      is_rejected = std::string(fault.what()).size() > 8;
     }
-    assert(refused);
+    assert(is_rejected);
   }
 }
 
-void a_watch_that_goes_on_for_ever_is_no_body_too_large() {
+void an_endless_response_whose_parts_are_taken_is_not_too_large() {
   BufferPool pool;
   HttpReader reader(HttpReader::Side::Response, pool, 1000);
   reader.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -478,30 +497,30 @@
   }
 }
 
-// What comes from outside, spoilt at random and cut at random: it is read, refused or waited for, and nothing
-// of it stays behind.
-void spoilt_messages_and_lists_are_read_or_refused() {
-  const std::string kinds[] = {
+// Randomly corrupted and randomly split input is parsed, rejected or awaited further, and every buffer is
+// returned.
+void corrupted_messages_and_lists_are_parsed_or_rejected() {
+  const std::string valid_inputs[] = {
       "GET /read/a?b HTTP/1.1\r\nX-Correlation-Id: 77\r\n\r\n",
       "POST /w HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nT: t\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
       "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\n\r\nuntil its end",
       R"({"index":9,"snapshot":true,"endpoints":[{"name":"a","address":"1.2.3.4:5","status":"leaving","since_ms":7}]})"
       "\n"};
-  const std::string bits[] = {
+  const std::string insertions[] = {
       "\r\n", "{", "}", "\"", "\\", "HTTP/1.1 ", "0", "-1", "ffffffff", "Content-Length: 1\r\n", "\n\n", "]"};
   BufferPool pool;
-  pcg32 chance(39);
-  int whole = 0, refused = 0, lists = 0;
+  pcg32 random(39);
+  int complete = 0, rejected = 0, lists = 0;
   for (int round = 0; round < 20000; ++round) {
-    std::size_t kind = chance(5);
-    std::string text = kinds[kind];
-    for (std::uint32_t i = chance(4); i > 0; --i) {
-      std::size_t at = chance(std::uint32_t(text.size()));
-      switch (chance(4)) {
-        case 0: text[at] = char(chance(256)); break;
-        case 1: text.insert(at, bits[chance(std::size(bits))]); break;
-        case 2: text.erase(at, chance(8)); break;
+    std::size_t kind = random(5);
+    std::string text = valid_inputs[kind];
+    for (std::uint32_t i = random(4); i > 0; --i) {
+      std::size_t at = random(std::uint32_t(text.size()));
+      switch (random(4)) {
+        case 0: text[at] = char(random(256)); break;
+        case 1: text.insert(at, insertions[random(std::size(insertions))]); break;
+        case 2: text.erase(at, random(8)); break;
         default: text += text.substr(at);
       }
       if (text.empty()) text = " ";
@@ -509,7 +528,7 @@
     HttpReader reader(kind < 2 ? Side::Request : Side::Response, pool);
     ListSplitter lines;
     for (std::size_t at = 0; at < text.size();) {
-      std::string_view part = std::string_view(text).substr(at, 1 + chance(20));
+      std::string_view part = std::string_view(text).substr(at, 1 + random(20));
       at += part.size();
       std::size_t used = reader.feed(part);
       assert(used <= part.size() && !(reader.is_complete() && reader.fault() != Fault::None));
@@ -520,39 +539,40 @@
         if (result) lists += !result.value().entries.empty();
       }
     }
-    whole += reader.is_complete(), refused += reader.fault() != Fault::None;
+    complete += reader.is_complete();
+    rejected += reader.fault() != Fault::None;
   }
-  assert(whole > 2000 && refused > 2000 && lists > 500 && pool.in_use() == 0);
+  assert(complete > 2000 && rejected > 2000 && lists > 500 && pool.in_use() == 0);
 }
 
 }  // namespace
 
 int main() {
-  a_watch_that_goes_on_for_ever_is_no_body_too_large();
-  settings_of_the_new_shape_are_read_or_refused();
-  a_request_reads_the_same_wherever_it_is_cut();
-  a_chunked_answer_reads_the_same_wherever_it_is_cut();
-  an_answer_without_a_length_ends_with_its_connection_and_one_with_a_length_does_not();
-  what_can_be_read_in_two_ways_is_refused();
-  what_is_too_large_is_refused_before_it_is_kept();
-  interim_answers_without_end_are_a_head_without_end();
-  a_request_counts_as_begun_from_its_first_byte();
-  many_small_chunks_are_no_large_head();
-  a_request_goes_on_unchanged_but_for_what_belongs_to_one_connection();
-  an_answer_goes_on_whole_and_unchanged();
-  header_values_are_read_with_their_units_or_not_at_all();
-  an_answer_means_what_the_protocol_says();
-  a_list_is_read_with_its_starts_as_they_are_stated();
-  a_bad_list_or_assignment_is_one_plain_message();
-  lines_are_held_back_until_they_end();
-  buffers_are_used_again();
-  the_last_used_idle_connection_goes_out_first_and_the_oldest_closes();
-  kept_connections_are_doubted_by_how_the_last_ones_fared();
-  an_endpoint_that_moved_is_noticed();
-  the_loop_keeps_the_order_of_alarms_and_puts_off_what_is_asked_for_soon();
-  a_socket_that_took_the_number_of_one_closed_is_not_told_of_what_that_had();
-  alarms_run_in_order_over_many_milliseconds_and_new_ones_wait_a_turn();
-  lines_below_the_level_are_not_written();
-  spoilt_messages_and_lists_are_read_or_refused();
-  std::puts("all stories hold");
+  an_endless_response_whose_parts_are_taken_is_not_too_large();
+  optional_settings_are_parsed_or_rejected();
+  a_request_is_parsed_the_same_wherever_it_is_split();
+  a_chunked_response_is_parsed_the_same_wherever_it_is_split();
+  the_end_of_the_connection_completes_only_a_response_without_a_length();
+  malformed_and_ambiguous_messages_are_rejected();
+  oversized_heads_and_bodies_are_rejected_before_they_are_buffered();
+  endless_interim_responses_exceed_the_head_limit();
+  a_request_counts_as_started_from_its_first_byte();
+  many_small_chunks_do_not_exceed_the_head_limit();
+  a_forwarded_request_loses_only_hop_by_hop_headers();
+  a_forwarded_response_keeps_its_body_and_end_to_end_headers();
+  header_values_are_parsed_or_rejected();
+  the_outcome_follows_status_and_x_unprocessed();
+  an_endpoint_list_is_parsed_with_its_stated_start_times();
+  a_malformed_list_or_assignment_yields_an_error_message();
+  the_list_splitter_returns_only_complete_lines();
+  freed_buffers_are_reused();
+  idle_connections_are_taken_most_recent_first_and_closed_oldest_first();
+  idle_times_after_which_connections_were_reset_are_likely_stale();
+  an_endpoint_with_a_new_address_is_reported_as_stale();
+  timers_run_in_order_and_posted_work_runs_in_the_next_turn();
+  a_reused_descriptor_gets_no_event_of_the_closed_socket();
+  timers_run_in_order_over_many_milliseconds_and_new_ones_wait_a_turn();
+  log_lines_below_the_level_are_not_written();
+  corrupted_messages_and_lists_are_parsed_or_rejected();
+  std::puts("wire: all tests passed");
 }
