--- a/src/proxy/endpoint_addresses.h
+++ b/src/proxy/endpoint_addresses.h
@@ -1,4 +1,4 @@
-// Where an endpoint listens, by its name; the module knows names only.
+// The address that each endpoint listens at. The policy knows endpoints by name only.
 #pragma once
 
 #include <map>
@@ -10,20 +10,22 @@
 
 class EndpointAddresses {
  public:
-  // Returns the endpoints whose connections are of no more use: this one if it was known at another address,
-  // and whoever had this address before. Two can't listen there, so that one is gone, told or not.
+  // Assigns `address` to `endpoint`. Returns the endpoints whose connections lead nowhere from now on: this
+  // one if it had another address, and the previous holder of `address`. Two processes can't listen at one
+  // address, so the previous holder is gone, whether or not discovery has reported that.
   std::vector<std::string> assign(const std::string& endpoint, const std::string& address) {
     std::vector<std::string> stale;
     if (const std::string* known = find(endpoint)) {
       if (*known == address) return stale;
       stale.push_back(endpoint);
     }
-    if (const std::string* before = endpoint_at(address)) stale.push_back(*before);
+    if (const std::string* previous = endpoint_at(address)) stale.push_back(*previous);
     for (const std::string& name : stale) erase(name);
-    by_name_[endpoint] = address, by_address_[address] = endpoint;
+    by_name_[endpoint] = address;
+    by_address_[address] = endpoint;
     return stale;
   }
-  // Who has it.
+  // The endpoint that holds `address`; null if none does.
   const std::string* endpoint_at(const std::string& address) const {
     auto found = by_address_.find(address);
     return found == by_address_.end() ? nullptr : &found->second;
@@ -35,6 +37,7 @@
     }
     return missing;
   }
+  // The address of `endpoint`; null if it has none.
   const std::string* find(const std::string& endpoint) const {
     auto found = by_name_.find(endpoint);
     return found == by_name_.end() ? nullptr : &found->second;
@@ -42,7 +45,8 @@
   void erase(const std::string& endpoint) {
     auto found = by_name_.find(endpoint);
     if (found == by_name_.end()) return;
-    by_address_.erase(found->second), by_name_.erase(found);
+    by_address_.erase(found->second);
+    by_name_.erase(found);
   }
 
  private:
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -1,5 +1,5 @@
-// Connections that stand idle, by endpoint: the last used goes out first, so that the rest grow old and
-// close.
+// Idle connections by endpoint. The most recently used one is reused first, so that surplus connections stay
+// idle until they are closed for their age.
 #pragma once
 
 #include <algorithm>
@@ -17,55 +17,59 @@
  public:
   using Owned = std::unique_ptr<Connection>;
 
-  void add(const std::string& endpoint, Owned connection, double now) {
-    kept_[endpoint].emplace_back(now, std::move(connection));
+  // Adds the connection as the most recently used one to its endpoint.
+  void add(const std::string& endpoint, Owned connection, double idle_since) {
+    by_endpoint_[endpoint].emplace_back(idle_since, std::move(connection));
   }
-  // The last used, of those that have been idle since 'before' or longer.
+  // Takes the most recently used connection among those idle since `latest` or before.
   Owned take_most_recent(const std::string& endpoint,
-                         double before = std::numeric_limits<double>::infinity()) {
-    auto found = kept_.find(endpoint);
-    if (found == kept_.end()) return {};
+                         double latest = std::numeric_limits<double>::infinity()) {
+    auto found = by_endpoint_.find(endpoint);
+    if (found == by_endpoint_.end()) return {};
     auto& list = found->second;
-    auto at =
-        std::find_if(list.rbegin(), list.rend(), [&](const auto& kept) { return kept.first <= before; });
-    return at == list.rend() ? Owned() : take_at(found, std::size_t(list.rend() - at) - 1);
+    auto match =
+        std::find_if(list.rbegin(), list.rend(), [&](const auto& idle) { return idle.first <= latest; });
+    return match == list.rend() ? Owned() : take_at(found, std::size_t(list.rend() - match) - 1);
   }
-  Owned remove(const std::string& endpoint, const Connection& one) {
-    auto found = kept_.find(endpoint);
-    if (found == kept_.end()) return {};
+  Owned remove(const std::string& endpoint, const Connection& connection) {
+    auto found = by_endpoint_.find(endpoint);
+    if (found == by_endpoint_.end()) return {};
     auto& list = found->second;
-    auto at =
-        std::find_if(list.begin(), list.end(), [&](const auto& kept) { return kept.second.get() == &one; });
-    return at == list.end() ? Owned() : take_at(found, std::size_t(at - list.begin()));
+    auto match = std::find_if(list.begin(), list.end(),
+                              [&](const auto& idle) { return idle.second.get() == &connection; });
+    return match == list.end() ? Owned() : take_at(found, std::size_t(match - list.begin()));
   }
-  // The longest idle of all, if it has been so since 'before' or longer.
-  Owned take_oldest(double before) {
-    auto oldest = std::min_element(kept_.begin(), kept_.end(), [](const auto& one, const auto& other) {
-      return one.second.front().first < other.second.front().first;
-    });
-    if (oldest == kept_.end() || oldest->second.front().first > before) return {};
+  // Takes the connection that has been idle longest, over all endpoints, if that is since `latest` or before.
+  Owned take_oldest(double latest) {
+    auto oldest =
+        std::min_element(by_endpoint_.begin(), by_endpoint_.end(), [](const auto& one, const auto& other) {
+          return one.second.front().first < other.second.front().first;
+        });
+    if (oldest == by_endpoint_.end() || oldest->second.front().first > latest) return {};
     return take_at(oldest, 0);
   }
-  double oldest_idle_since()
-      const {  // since when the longest idle of all has been so; infinite: there is none
+  // When the connection that has been idle longest became idle; infinity if there is none.
+  double oldest_idle_since() const {
     double since = std::numeric_limits<double>::infinity();
-    for (const auto& [endpoint, list] : kept_) since = std::min(since, list.front().first);
+    for (const auto& [endpoint, list] : by_endpoint_) since = std::min(since, list.front().first);
     return since;
   }
   std::size_t count(const std::string& endpoint) const {
-    auto found = kept_.find(endpoint);
-    return found == kept_.end() ? 0 : found->second.size();
+    auto found = by_endpoint_.find(endpoint);
+    return found == by_endpoint_.end() ? 0 : found->second.size();
   }
 
  private:
-  using Kept = std::map<std::string, std::vector<std::pair<double, Owned>>>;
-  Owned take_at(typename Kept::iterator list, std::size_t place) {
-    Owned taken = std::move(list->second[place].second);
-    list->second.erase(list->second.begin() + std::ptrdiff_t(place));
-    if (list->second.empty()) kept_.erase(list);
+  using ByEndpoint = std::map<std::string, std::vector<std::pair<double, Owned>>>;
+  Owned take_at(typename ByEndpoint::iterator list, std::size_t position) {
+    Owned taken = std::move(list->second[position].second);
+    list->second.erase(list->second.begin() + std::ptrdiff_t(position));
+    if (list->second.empty()) by_endpoint_.erase(list);
     return taken;
   }
-  Kept kept_;  // each list by time, oldest first; none empty
+  // Each connection with the time since which it has been idle, in the order of adding: the first is taken to
+  // have been idle longest. No list is empty.
+  ByEndpoint by_endpoint_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/idle_reuse_history.h
+++ b/src/proxy/idle_reuse_history.h
@@ -1,5 +1,5 @@
-// How the last kept connections fared that carried one more request: some networks and endpoints drop what
-// stands idle without a word, and the next request is what finds out.
+// Records whether recent requests that reused an idle connection found it still open. Some networks and
+// endpoints drop idle connections without closing them, which shows only when the next request is sent.
 #pragma once
 
 #include <algorithm>
@@ -10,30 +10,35 @@
 
 class IdleReuseHistory {
  public:
-  void record(double idle, bool reset) {
-    uses_.push_back({idle, reset});
-    if (uses_.size() > kMost) uses_.pop_front();
+  // dropped: the reused connection turned out to have been dropped while it was idle.
+  void record(double idle_s, bool dropped) {
+    reuses_.push_back({idle_s, dropped});
+    if (reuses_.size() > kMaxReuses) reuses_.pop_front();
   }
-  // Whether one that has stood idle for so long had better not carry what can't be sent again. Judged by
-  // those that stood up to twice as long: the fresher a connection, the fewer of them were dropped.
-  bool likely_stale(double idle) const {
-    double alike = 0, reset = 0;
-    for (const Use& use : uses_) {
-      if (use.idle <= 2 * idle) alike += 1, reset += use.reset;
+  // Whether a connection that has been idle for `idle_s` is too likely to be dropped for a request that can't
+  // be sent again. Considers reuses after up to twice that time, as shorter idle times see fewer drops.
+  bool likely_stale(double idle_s) const {
+    double considered = 0;
+    double dropped = 0;
+    for (const Reuse& reuse : reuses_) {
+      if (reuse.idle_s <= 2 * idle_s) {
+        considered += 1;
+        dropped += reuse.dropped;
+      }
     }
-    return reset > kShare * alike;
+    return dropped > kMaxDroppedShare * considered;
   }
 
  private:
-  struct Use {
-    double idle;
-    bool reset;
+  struct Reuse {
+    double idle_s;
+    bool dropped;
   };
-  // A new connection costs a handshake, a fiftieth of a request where it has a price; a lost request costs a
-  // whole one.
-  static constexpr double kShare = 0.02;
-  static constexpr std::size_t kMost = 64;
-  std::deque<Use> uses_;
+  // A new connection costs a handshake, which is charged at a fiftieth of a request where it is charged at
+  // all; a lost request costs a whole one.
+  static constexpr double kMaxDroppedShare = 0.02;
+  static constexpr std::size_t kMaxReuses = 64;
+  std::deque<Reuse> reuses_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/request_counters.h
+++ b/src/proxy/request_counters.h
@@ -1,5 +1,6 @@
-// How requests ended, by request class, and how many attempts were written whole, since the process started.
-// Request classes are those of the settings: what strangers send makes no new figure.
+// Counts how requests ended, by request class, and how many attempts were written whole, since the process
+// started. Only configured request classes are counted, so clients can't create counters by sending unknown
+// paths.
 #pragma once
 
 #include <array>
@@ -13,18 +14,18 @@
 
 class RequestCounters {
  public:
-  explicit RequestCounters(std::size_t request_classes) : ended_(request_classes) {}
-  void record_outcome(std::size_t request_class, RequestOutcome how) {
-    ++ended_[request_class][std::size_t(how)];
+  explicit RequestCounters(std::size_t request_classes) : outcomes_(request_classes) {}
+  void record_outcome(std::size_t request_class, RequestOutcome outcome) {
+    ++outcomes_[request_class][std::size_t(outcome)];
   }
   void record_attempt() { ++attempts_; }
-  std::uint64_t count(std::size_t request_class, RequestOutcome how) const {
-    return ended_[request_class][std::size_t(how)];
+  std::uint64_t count(std::size_t request_class, RequestOutcome outcome) const {
+    return outcomes_[request_class][std::size_t(outcome)];
   }
   std::uint64_t attempts_sent() const { return attempts_; }
 
  private:
-  std::vector<std::array<std::uint64_t, 3>> ended_;
+  std::vector<std::array<std::uint64_t, 3>> outcomes_;  // by request class, then by RequestOutcome
   std::uint64_t attempts_ = 0;
 };
 
