--- a/src/proxy/pending_requests.h
+++ b/src/proxy/pending_requests.h
@@ -1,5 +1,4 @@
-// The pending requests, with what is needed to send them again and to know when nothing more can come of
-// them.
+// The pending requests, each with what is needed to send it again and with its attempts.
 #pragma once
 
 #include <algorithm>
@@ -19,68 +18,79 @@
 class DownstreamConnection;
 class UpstreamConnection;
 
-constexpr std::string_view kRequestIdHeader = "X-Correlation-Id";  // new with every request
+constexpr std::string_view kRequestIdHeader = "X-Correlation-Id";  // unique to each request of a client
 
+// All times are seconds on the loop's clock.
 struct PendingAttempt {
   std::string endpoint;
-  double sent = 0, ends = 0;
-  UpstreamConnection* upstream = nullptr;  // none: ended, though the module may not have been told yet
-  bool reported = false;
-  std::size_t body_sent = 0;
-  std::optional<double> stood_idle = {};  // for how long its connection had, if it was kept
+  double started_at = 0;
+  double deadline = 0;
+  UpstreamConnection* upstream = nullptr;  // null once it has ended, even if the policy is not told yet
+  bool reported = false;                   // the policy was told of its end
+  std::size_t body_bytes_sent = 0;  // for a streamed body only 1 once its last chunk is written, else 0
+  std::optional<double> reused_after_idle_s =
+      {};  // set if it reuses an idle connection: how long that was idle
 };
 
 struct PendingRequest {
   HttpMessage message;
-  double until = 0;
-  DownstreamConnection* downstream = nullptr;  // none: answered or gone
-  UpstreamConnection* relay = nullptr;         // its answer is being passed on from there
+  double deadline = 0;
+  DownstreamConnection* downstream = nullptr;  // null once it is answered or its client has left
+  UpstreamConnection* relay = nullptr;         // the connection whose response is being relayed to the client
   const RequestClass* request_class = nullptr;
-  std::optional<HttpMessage> failed = {};  // the last answer that was one and is no good
+  std::optional<HttpMessage> error_response =
+      {};  // the last one from an endpoint, sent if every attempt fails
   std::vector<PendingAttempt> attempts = {};
-  // Of a body that was not held whole: whether more is to come, and all its length, if that was told.
-  bool streams = false, coming = false, spent = false;
-  std::optional<std::size_t> length = {};
-  double time_left = 0;  // of its client, once the last byte has come
+  // Of a body that is forwarded while it arrives:
+  bool streams_body = false;
+  bool body_incomplete = false;  // more of it is to arrive
+  bool body_consumed = false;    // some was sent and released, so the request can't be sent again
+  std::optional<std::size_t> body_length = {};  // as declared by the client
+  double remaining_time_s = 0;  // of its client, counted from the arrival of the last byte of the request
 
+  // Its response has been sent or is being relayed, or its client has left.
   bool concluded() const { return !downstream || relay; }
-  bool over() const { return !downstream; }
+  bool released_by_client() const { return !downstream; }
 };
 
 class PendingRequests {
  public:
-  // Whether a request with its client's id is in hand: a second one would be taken for its repeat.
-  bool open(std::string_view id) const { return open_.contains(id); }
+  // Whether a request with this client-assigned id is pending. Endpoints would take a second one for a repeat
+  // of the first.
+  bool has_client_id(std::string_view id) const { return client_ids_.contains(id); }
   RequestId add(PendingRequest request) {
-    while (in_hand_.contains(++last_)) {
+    while (requests_.contains(++last_id_)) {
     }
-    open_.emplace(request.message.header(kRequestIdHeader));
-    in_hand_.emplace(last_, std::move(request));
-    return last_;
+    client_ids_.emplace(request.message.header(kRequestIdHeader));
+    requests_.emplace(last_id_, std::move(request));
+    return last_id_;
   }
   PendingRequest* find(RequestId id) {
-    auto found = in_hand_.find(id);
-    return found == in_hand_.end() ? nullptr : &found->second;
+    auto found = requests_.find(id);
+    return found == requests_.end() ? nullptr : &found->second;
   }
-  void forget_if_over(RequestId id) {
-    auto found = in_hand_.find(id);
-    if (found == in_hand_.end() || !found->second.over()) return;
+  // Removes the request once its client needs it no longer and the policy was told of the end of each
+  // attempt.
+  void remove_if_finished(RequestId id) {
+    auto found = requests_.find(id);
+    if (found == requests_.end() || !found->second.released_by_client()) return;
     for (const PendingAttempt& attempt : found->second.attempts) {
       if (!attempt.reported) return;
     }
-    open_.erase(std::string(found->second.message.header(kRequestIdHeader)));
-    in_hand_.erase(found);
+    client_ids_.erase(std::string(found->second.message.header(kRequestIdHeader)));
+    requests_.erase(found);
   }
-  std::size_t count() const { return in_hand_.size(); }
-  std::size_t under_way() const {  // neither answered nor given up by their clients
-    return std::size_t(
-        std::count_if(in_hand_.begin(), in_hand_.end(), [](const auto& one) { return !one.second.over(); }));
+  std::size_t count() const { return requests_.size(); }
+  // The requests that are neither answered nor abandoned by their clients.
+  std::size_t active_count() const {
+    return std::size_t(std::count_if(requests_.begin(), requests_.end(),
+                                     [](const auto& one) { return !one.second.released_by_client(); }));
   }
 
  private:
-  RequestId last_ = 0;
-  std::unordered_map<RequestId, PendingRequest> in_hand_;
-  std::set<std::string, std::less<>> open_;
+  RequestId last_id_ = 0;
+  std::unordered_map<RequestId, PendingRequest> requests_;
+  std::set<std::string, std::less<>> client_ids_;
 };
 
 }  // namespace puffinvane
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -12,26 +12,32 @@
 namespace puffinvane {
 
 namespace {
-constexpr double kOthers = 1e-6;    // of an endpoint: so little that only depth beyond all bounds goes there
-constexpr double kIdleShare = 0.7;  // of the time after which endpoints close: an attempt must not cross that
-constexpr double kSweep = 0.25;
-// An endpoint may say something more some milliseconds after its answer. On a connection that carries the
-// next request by then it would be read as that one's answer.
-constexpr double kSettled = 0.03;
-constexpr double kHelpAfter = 0.5;         // of the time that a connection has to come up
-constexpr std::size_t kMostRising = 4;     // connections to an endpoint that come up with nothing to carry
-constexpr std::size_t kLately = 4096;      // endpoints that are known though no longer listed
-constexpr std::size_t kInOne = 64 * 1024;  // of a body, written at a time
-constexpr std::size_t kMostUnsent = 256 * 1024;  // of one that streams, before it has a connection
-constexpr double kUploading = 1200;              // seconds: longer than any body takes at the least pace
-constexpr double kBeforeEnd = 0.01;
-constexpr double kStoppedLate = 0.2;  // seconds without a byte of a short answer whose request's time is over
-constexpr double kLeastPace = 8 * 1024;  // bytes a second: a quarter of what clients keep to
+// Weight of an endpoint that is not in this instance's share: so little that it gets attempts only once its
+// own endpoints have no capacity left.
+constexpr double kWeightOutsideShare = 1e-6;
+// Share of the time after which endpoints close idle connections. They are closed here before that, so that
+// no attempt is sent while the endpoint closes.
+constexpr double kMaxIdleShare = 0.7;
+constexpr double kIdleCheckInterval = 0.25;
+// Seconds for which a connection is not reused after a response. An endpoint may send stray bytes some
+// milliseconds after its response, and they would be read as the response to the next request.
+constexpr double kReuseDelay = 0.03;
+constexpr double kSpareDelayShare = 0.5;             // of the connect timeout
+constexpr std::size_t kMaxSparesPerEndpoint = 4;     // being established at a time
+constexpr std::size_t kMaxRecentlyRemoved = 4096;    // endpoints remembered although no longer listed
+constexpr std::size_t kBodyPartBytes = 64 * 1024;    // of a body, written at a time
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // of a streamed body, before it has a connection
+constexpr double kMaxUploadTime = 1200;  // seconds: longer than any body takes at the lowest accepted rate
+constexpr double kDeadlineMargin = 0.01;
+constexpr double kShortRelayStallTimeout =
+    0.2;                                    // seconds without a byte of a short response past its deadline
+constexpr double kMinRelayRate = 8 * 1024;  // bytes a second: a quarter of what clients sustain
 constexpr double kNever = std::numeric_limits<double>::infinity();
-// Seconds that an attempt is told less than is left: for so long the loop doesn't know that it was held up,
-// and all of the slack on what is told may go by between the clock's reading and the writing.
-constexpr double kUntold = 0.025;
-constexpr double kAfterLast = 0.5;  // seconds, for what is put off to the next turn or the next tick
+// Seconds by which an attempt is told less than the time that remains. The loop doesn't notice stalls of up
+// to that length, and one between reading the clock and writing the request may use up the whole tolerance
+// for the time that was told.
+constexpr double kTimeLeftMargin = 0.025;
+constexpr double kDestroyDelay = 0.5;  // seconds, for callbacks put off to the next turn or timer check
 }  // namespace
 
 RequestForwarder::RequestForwarder(Loop& loop, ConnectionLimiter& limiter, Deployment deployment,
@@ -43,47 +49,49 @@
       counters_(deployment_.request_classes.size()),
       policy_(make(loop.now(), deployment_, seed, *this)) {
   limiter_.join(*this);
-  sweep();
+  close_expired_idle();
 }
 
 RequestForwarder::~RequestForwarder() { limiter_.leave(*this); }
 
-void RequestForwarder::begin_shutdown(double gone) {
-  gone_ = gone;
-  policy_->on_shutdown(loop_.now(), gone);
+void RequestForwarder::begin_shutdown(double deadline) {
+  shutdown_deadline_ = deadline;
+  policy_->on_shutdown(loop_.now(), deadline);
 }
 
 void RequestForwarder::retire(const std::vector<RequestForwarder*>& successors) {
-  retired_ = loop_.now();
+  retired_at_ = loop_.now();
   for (RequestForwarder* successor : successors)
     successors_.push_back({successor, successor->alive_.watch()});
-  while (!rising_.empty()) drop_rising(std::string(rising_.begin()->first));
+  while (!spares_.empty()) close_spares(std::string(spares_.begin()->first));
   for (double since = idle_.oldest_idle_since(); !std::isinf(since); since = idle_.oldest_idle_since())
-    pass_on(idle_.take_oldest(since), since);
+    hand_to_successor(idle_.take_oldest(since), since);
 }
 
-// A new connection costs its endpoint a handshake: a version that only words things anew must not cost that.
-void RequestForwarder::pass_on(std::unique_ptr<UpstreamConnection> idle, double since) {
+// Each new connection costs its endpoint a handshake, so changed settings must not close the old connections.
+// A successor gets only connections to endpoints that it knows at the same address.
+void RequestForwarder::hand_to_successor(std::unique_ptr<UpstreamConnection> idle, double idle_since) {
   const std::string* address = addresses_.find(idle->endpoint());
   for (std::size_t i = 0; i < successors_.size(); ++i) {
     const Successor& successor = successors_[next_successor_++ % successors_.size()];
-    if (successor.alive.expired() || successor.forwarder->retired_) continue;
+    if (successor.alive.expired() || successor.forwarder->retired_at_) continue;
     const std::string* theirs = successor.forwarder->addresses_.find(idle->endpoint());
     if (!address || !theirs || *theirs != *address) continue;
-    idle->pass_to(*successor.forwarder);
+    idle->set_owner(*successor.forwarder);
     std::string endpoint = idle->endpoint();
-    return successor.forwarder->idle_.add(endpoint, std::move(idle), since);
+    return successor.forwarder->idle_.add(endpoint, std::move(idle), idle_since);
   }
-  idle->give_up(), loop_.bury(std::move(idle));
+  idle->close();
+  loop_.bury(std::move(idle));
 }
 
 bool RequestForwarder::can_be_destroyed() const {
-  // Alarms of requests go on until their client timeouts: with none of those to come nobody asks for it.
+  // The timers of a request run until its client timeout, even if it has ended before.
   double longest = 0;
   for (const RequestClass& request_class : deployment_.request_classes)
     longest = std::max(longest, request_class.client_timeout_s);
-  return retired_ && requests_.count() == 0 &&
-         loop_.now() > std::max(*retired_, last_request_ + longest) + kAfterLast;
+  return retired_at_ && requests_.count() == 0 &&
+         loop_.now() > std::max(*retired_at_, last_request_at_ + longest) + kDestroyDelay;
 }
 
 void RequestForwarder::log(std::string_view text) {
@@ -91,122 +99,133 @@
   else loop_.log().event(Level::Info, "pool.report").with("pool", options_.pool_name).with("text", text);
 }
 
-// ---- what the module asks for
+// ---- Host: what the policy asks for
 
 void RequestForwarder::start_attempt(RequestId id, std::string_view endpoint, double abandon_at) {
   PendingRequest& request = *requests_.find(id);
   int number = int(request.attempts.size());
-  double now = loop_.now(), ends = abandon_at > 0 ? std::min(abandon_at, request.until) : request.until;
-  request.attempts.push_back({std::string(endpoint), now, ends});
-  loop_.at(ends, alive_.guard([this, id, number] { out_of_time(id, number); }));
-  if (client_left(id)) return end_soon(id, number, Outcome::NotSent);
-  // What was let go of its body can't be sent again: that is nobody's fault, and nothing has run.
-  if (request.spent) return end_soon(id, number, Outcome::NotSent);
-  if (auto fault = start({id, number}, request.attempts.back().endpoint)) end_soon(id, number, *fault);
-}
-
-std::unique_ptr<UpstreamConnection> RequestForwarder::take_kept(UpstreamConnection::AttemptId attempt,
-                                                                const std::string& endpoint) {
-  while (std::unique_ptr<UpstreamConnection> kept =
-             idle_.take_most_recent(endpoint, loop_.now() - kSettled)) {
-    double idle = kept->stood_idle(loop_.now());
-    // Rule 2: an unsafe request that meets a dropped connection can only be failed. The others find out.
+  double now = loop_.now();
+  double deadline = abandon_at > 0 ? std::min(abandon_at, request.deadline) : request.deadline;
+  request.attempts.push_back({std::string(endpoint), now, deadline});
+  loop_.at(deadline, alive_.guard([this, id, number] { on_attempt_deadline(id, number); }));
+  if (client_may_have_left(id)) return report_attempt_end_soon(id, number, Outcome::NotSent);
+  // A body whose first part was sent and released can't be sent again. NotSent blames no endpoint for that.
+  if (request.body_consumed) return report_attempt_end_soon(id, number, Outcome::NotSent);
+  if (auto failure = send_attempt({id, number}, request.attempts.back().endpoint))
+    report_attempt_end_soon(id, number, *failure);
+}
+
+std::unique_ptr<UpstreamConnection> RequestForwarder::take_reusable(UpstreamConnection::AttemptId attempt,
+                                                                    const std::string& endpoint) {
+  while (std::unique_ptr<UpstreamConnection> reusable =
+             idle_.take_most_recent(endpoint, loop_.now() - kReuseDelay)) {
+    double idle_s = reusable->idle_for(loop_.now());
+    // An Unsafe request may run once at most (rule 2). If it meets a dropped connection it can't be sent
+    // again and fails. The other requests are retried, and show which connections are dropped.
     if (requests_.find(attempt.request)->request_class->idempotency == Idempotency::Unsafe &&
-        kept_uses_.likely_stale(idle)) {
-      idle_.add(endpoint, std::move(kept), loop_.now() - idle);
+        idle_reuse_.likely_stale(idle_s)) {
+      idle_.add(endpoint, std::move(reusable), loop_.now() - idle_s);
       return {};
     }
-    // The endpoint may have closed it in this very turn of the loop.
-    if (kept->quiet()) return kept;
-    kept->give_up(), loop_.bury(std::move(kept));
+    // The endpoint may have closed it, which the loop has not reported yet.
+    if (reusable->quiet()) return reusable;
+    reusable->close();
+    loop_.bury(std::move(reusable));
   }
   return {};
 }
 
-std::optional<Outcome> RequestForwarder::start(UpstreamConnection::AttemptId attempt,
-                                               const std::string& endpoint) {
+std::optional<Outcome> RequestForwarder::send_attempt(UpstreamConnection::AttemptId attempt,
+                                                      const std::string& endpoint) {
   PendingRequest& request = *requests_.find(attempt.request);
   UpstreamConnection*& used = request.attempts[std::size_t(attempt.number)].upstream;
-  bool head = request.message.method == "HEAD";
-  if (std::unique_ptr<UpstreamConnection> kept = take_kept(attempt, endpoint)) {
-    request.attempts[std::size_t(attempt.number)].stood_idle = kept->stood_idle(loop_.now());
-    used = kept.get();
-    busy_[used] = std::move(kept);
-    used->carry(attempt, head);
+  bool is_head = request.message.method == "HEAD";
+  if (std::unique_ptr<UpstreamConnection> reusable = take_reusable(attempt, endpoint)) {
+    request.attempts[std::size_t(attempt.number)].reused_after_idle_s = reusable->idle_for(loop_.now());
+    used = reusable.get();
+    busy_[used] = std::move(reusable);
+    used->assign_attempt(attempt, is_head);
     return {};
   }
   if (!addresses_.find(endpoint)) return Outcome::ConnectFailed;
-  if (!limiter_.room_for_attempt()) return Outcome::NotSent;  // our own want: it says nothing of the endpoint
-  std::unique_ptr<UpstreamConnection> fresh = open(endpoint);
+  // A shortage of descriptors here is not the endpoint's fault.
+  if (!limiter_.room_for_attempt()) return Outcome::NotSent;
+  std::unique_ptr<UpstreamConnection> fresh = open_connection(endpoint);
   if (!fresh) return Outcome::ConnectFailed;
   used = fresh.get();
   busy_[used] = std::move(fresh);
-  used->carry(attempt, head);
-  loop_.at(loop_.now() + kHelpAfter * deployment_.connect_timeout_s,
-           alive_.guard([this, attempt] { help(attempt); }));
+  used->assign_attempt(attempt, is_head);
+  loop_.at(loop_.now() + kSpareDelayShare * deployment_.connect_timeout_s,
+           alive_.guard([this, attempt] { open_spare(attempt); }));
   return {};
 }
 
-std::unique_ptr<UpstreamConnection> RequestForwarder::open(const std::string& endpoint) {
+std::unique_ptr<UpstreamConnection> RequestForwarder::open_connection(const std::string& endpoint) {
   auto fresh = std::make_unique<UpstreamConnection>(loop_, *this, endpoint, options_.max_body_bytes,
                                                     options_.stream_bodies);
   const std::string* address = addresses_.find(endpoint);
-  bool begun = address && fresh->connect(*address, deployment_.connect_timeout_s);
-  return begun ? std::move(fresh) : nullptr;
+  bool started = address && fresh->connect(*address, deployment_.connect_timeout_s);
+  return started ? std::move(fresh) : nullptr;
 }
 
-// A connection that is not up by half of its time may be one of those that come up late, or never: another
-// one to the same endpoint may be up before it. Whichever is first carries the attempt, the other is kept.
-void RequestForwarder::help(UpstreamConnection::AttemptId attempt) {
+// A connection that is not established within half of the connect timeout may be late or never be
+// established, and another one to the same endpoint may be faster. Whichever is established first carries the
+// attempt; the other one is kept for later attempts.
+void RequestForwarder::open_spare(UpstreamConnection::AttemptId attempt) {
   PendingRequest* request = requests_.find(attempt.request);
   UpstreamConnection* waiting = request ? request->attempts[std::size_t(attempt.number)].upstream : nullptr;
-  if (!waiting || !waiting->connecting() || retired_ || loop_.descriptors().left() <= 0) return;
+  if (!waiting || !waiting->connecting() || retired_at_ || loop_.descriptors().left() <= 0) return;
   const std::string endpoint = waiting->endpoint();
-  if (auto there = rising_.find(endpoint); there != rising_.end() && there->second.size() >= kMostRising)
+  if (auto found = spares_.find(endpoint);
+      found != spares_.end() && found->second.size() >= kMaxSparesPerEndpoint)
     return;
-  if (std::unique_ptr<UpstreamConnection> helper = open(endpoint)) {
-    helper->rise();
-    rising_[endpoint].push_back(std::move(helper));
+  if (std::unique_ptr<UpstreamConnection> spare = open_connection(endpoint)) {
+    spare->become_spare();
+    spares_[endpoint].push_back(std::move(spare));
   }
 }
 
-void RequestForwarder::on_risen(UpstreamConnection& upstream) {
+// The spare takes the attempt of a connection to the same endpoint that is still being established, if there
+// is one; that connection becomes a spare in its place.
+void RequestForwarder::on_spare_connected(UpstreamConnection& upstream) {
   const std::string endpoint = upstream.endpoint();
-  std::unique_ptr<UpstreamConnection> risen = no_longer_rising(upstream);
-  auto waits = std::find_if(busy_.begin(), busy_.end(), [&](const auto& one) {
+  std::unique_ptr<UpstreamConnection> spare = take_spare(upstream);
+  auto found = std::find_if(busy_.begin(), busy_.end(), [&](const auto& one) {
     return one.second->connecting() && one.second->endpoint() == endpoint;
   });
-  if (retired_) return loop_.bury(std::move(risen));
-  if (waits == busy_.end()) return idle_.add(endpoint, std::move(risen), loop_.now() - kSettled);
-  std::unique_ptr<UpstreamConnection> waiting = std::move(busy_.extract(waits).mapped());
+  if (retired_at_) return loop_.bury(std::move(spare));
+  if (found == busy_.end()) return idle_.add(endpoint, std::move(spare), loop_.now() - kReuseDelay);
+  std::unique_ptr<UpstreamConnection> waiting = std::move(busy_.extract(found).mapped());
   const UpstreamConnection::AttemptId attempt = waiting->attempt_id();
-  waiting->rise();
-  rising_[endpoint].push_back(std::move(waiting));
+  waiting->become_spare();
+  spares_[endpoint].push_back(std::move(waiting));
   PendingRequest& request = *requests_.find(attempt.request);
   request.attempts[std::size_t(attempt.number)].upstream = &upstream;
-  busy_[&upstream] = std::move(risen);
-  upstream.carry(attempt, request.message.method == "HEAD");
-}
-
-std::unique_ptr<UpstreamConnection> RequestForwarder::no_longer_rising(const UpstreamConnection& upstream) {
-  auto there = rising_.find(upstream.endpoint());
-  if (there == rising_.end()) return {};
-  auto at = std::find_if(there->second.begin(), there->second.end(),
-                         [&](const auto& one) { return one.get() == &upstream; });
-  if (at == there->second.end()) return {};
-  std::unique_ptr<UpstreamConnection> taken = std::move(*at);
-  there->second.erase(at);
-  if (there->second.empty()) rising_.erase(there);
+  busy_[&upstream] = std::move(spare);
+  upstream.assign_attempt(attempt, request.message.method == "HEAD");
+}
+
+// Null if it is not a spare.
+std::unique_ptr<UpstreamConnection> RequestForwarder::take_spare(const UpstreamConnection& upstream) {
+  auto spares = spares_.find(upstream.endpoint());
+  if (spares == spares_.end()) return {};
+  auto found = std::find_if(spares->second.begin(), spares->second.end(),
+                            [&](const auto& one) { return one.get() == &upstream; });
+  if (found == spares->second.end()) return {};
+  std::unique_ptr<UpstreamConnection> taken = std::move(*found);
+  spares->second.erase(found);
+  if (spares->second.empty()) spares_.erase(spares);
   return taken;
 }
 
-// Answers, alarms and a client's end that are found in one turn of the loop come in any order, and after a
-// stall or a wait at the listener the end is an old one: it is looked for before anything is sent on.
-bool RequestForwarder::client_left(RequestId id) {
+// Whether the client has left, or this can't be told because too much unread data precedes the end of its
+// connection; nothing must be sent for it then. One turn of the loop may find responses, timers and the
+// client's end in any order, and after a stall or a wait at the listener the client may have left long ago.
+// So this is asked before each sending.
+bool RequestForwarder::client_may_have_left(RequestId id) {
   DownstreamConnection* downstream = requests_.find(id)->downstream;
   if (!downstream) return false;
-  if (!downstream->gone())
-    return downstream->may_be_gone();  // can't be told: nothing is sent for it meanwhile
+  if (!downstream->gone()) return downstream->may_be_gone();
   loop_.soon(alive_.guard([this, id] {
     PendingRequest* left = requests_.find(id);
     if (left && left->downstream) left->downstream->part();
@@ -214,12 +233,12 @@
   return true;
 }
 
-void RequestForwarder::not_sent(RequestId id, int number) {
+void RequestForwarder::end_unsent_attempt(RequestId id, int number) {
   PendingRequest* request = requests_.find(id);
   UpstreamConnection* upstream = request ? request->attempts[std::size_t(number)].upstream : nullptr;
   if (!upstream) return;
-  let_go(*upstream);
-  ended(id, number, Outcome::NotSent, nullptr);
+  detach_and_close(*upstream);
+  report_attempt_end(id, number, Outcome::NotSent, nullptr);
 }
 
 void RequestForwarder::cancel_attempt(RequestId id, int number) {
@@ -227,30 +246,32 @@
   if (!request || number >= int(request->attempts.size())) return;
   UpstreamConnection* upstream = request->attempts[std::size_t(number)].upstream;
   if (!upstream) return;
-  let_go(*upstream);
-  end_soon(id, number, Outcome::Cancelled);
+  detach_and_close(*upstream);
+  report_attempt_end_soon(id, number, Outcome::Cancelled);
 }
 
-void RequestForwarder::reject_request(RequestId id, double wait) {
-  std::string advice = wait > 0 ? "Retry-After: " + write_wait(wait) + "\r\n" : "";
-  conclude(id, 503, nullptr, advice, "bounced: trying again does no harm\n");
+void RequestForwarder::reject_request(RequestId id, double retry_after_s) {
+  std::string header = retry_after_s > 0 ? "Retry-After: " + write_wait(retry_after_s) + "\r\n" : "";
+  conclude(id, 503, nullptr, header, "bounced: trying again does no harm\n");
 }
 
 void RequestForwarder::fail_request(RequestId id) {
   PendingRequest* request = requests_.find(id);
-  // Better what the endpoint itself said than that it said something.
-  if (request && request->failed) {
-    HttpMessage said = std::move(*request->failed);
-    return conclude(id, said.status, &said, "", "");
+  // An endpoint's own error response tells the client more than a general one.
+  if (request && request->error_response) {
+    HttpMessage response = std::move(*request->error_response);
+    return conclude(id, response.status, &response, "", "");
   }
   conclude(id, 502, nullptr, "", "errored: it may or may not have run\n");
 }
 
-void RequestForwarder::schedule_timer(double at, std::uint64_t token) {
-  if (retired_ && requests_.count() == 0) return;  // there is nothing left to be woken for
-  loop_.at(at, alive_.guard([this, token] { policy_->on_timer(loop_.now(), token); }));
+void RequestForwarder::schedule_timer(double due_at, std::uint64_t token) {
+  if (retired_at_ && requests_.count() == 0) return;  // the policy has nothing left to do
+  loop_.at(due_at, alive_.guard([this, token] { policy_->on_timer(loop_.now(), token); }));
 }
 
+// Sends the final response to the client: `from` with `status`, or one made of `status`, `more_headers` and
+// `text`.
 void RequestForwarder::conclude(RequestId id, int status, const HttpMessage* from,
                                 std::string_view more_headers, std::string_view text) {
   PendingRequest* request = requests_.find(id);
@@ -263,216 +284,232 @@
                            : status < 500           ? RequestOutcome::Delivered
                                                     : RequestOutcome::Failed);
   downstream.answer(status, from, more_headers, text, false);
-  // Not forgotten here: the module may be in the middle of it, and ask for more cancels.
-  loop_.soon(alive_.guard([this, id] { requests_.forget_if_over(id); }));
+  // Removed on the next turn only: the policy may be working on this request and still cancel attempts of it.
+  loop_.soon(alive_.guard([this, id] { requests_.remove_if_finished(id); }));
 }
 
-// ---- what happens to attempts
+// ---- attempts and responses
 
-double RequestForwarder::time_to_tell(const PendingRequest& request, const PendingAttempt& attempt) const {
-  // Amid an upload its time counts from the last byte, which is yet to come, or lies unread.
-  const bool whole = !request.streams || !request.coming;
-  const double unread = request.downstream ? request.downstream->held_back_for() : 0;
-  const double left =
-      whole ? std::min(attempt.ends, request.until) - loop_.now() : request.time_left - unread;
-  return std::max(left - kUntold, left / 2);
+// The remaining time that the endpoint is told.
+double RequestForwarder::time_left_to_send(const PendingRequest& request,
+                                           const PendingAttempt& attempt) const {
+  // The time of an upload counts from its last byte, which may have arrived already and be unread because
+  // reading is paused.
+  const bool complete = !request.streams_body || !request.body_incomplete;
+  const double paused_s = request.downstream ? request.downstream->held_back_for() : 0;
+  const double left = complete ? std::min(attempt.deadline, request.deadline) - loop_.now()
+                               : request.remaining_time_s - paused_s;
+  return std::max(left - kTimeLeftMargin, left / 2);
 }
 
-BufferChain RequestForwarder::on_ready(UpstreamConnection& upstream) {
+BufferChain RequestForwarder::on_ready_to_send(UpstreamConnection& upstream) {
   auto [id, number] = upstream.attempt_id();
   const PendingRequest& request = *requests_.find(id);
   const PendingAttempt& attempt = request.attempts[std::size_t(number)];
   const std::string* address = addresses_.find(attempt.endpoint);
   BufferChain out(loop_.pool());
-  const double left = time_to_tell(request, attempt);
+  const double left = time_left_to_send(request, attempt);
   std::optional<Parts> parts;
-  if (request.streams) parts = Parts{request.length};
-  else if (request.message.body.size() > kInOne) parts = Parts{request.message.body.size()};
+  if (request.streams_body) parts = Parts{request.body_length};
+  else if (request.message.body.size() > kBodyPartBytes) parts = Parts{request.message.body.size()};
   write_request(out, request.message, address ? *address : attempt.endpoint, write_time_left(left), parts);
-  // Last of all: after the clock was read this process may have been held up, and its client left meanwhile.
-  if (!request.concluded() && !client_left(id)) return out;
-  loop_.soon(alive_.guard([this, id = id, number = number] { not_sent(id, number); }));
+  // Checked last: this process may have stalled since it read the clock, and the client left meanwhile.
+  if (!request.concluded() && !client_may_have_left(id)) return out;
+  loop_.soon(alive_.guard([this, id = id, number = number] { end_unsent_attempt(id, number); }));
   out.clear();
   return out;
 }
 
-BufferChain RequestForwarder::on_next(UpstreamConnection& upstream, bool& whole) {
+BufferChain RequestForwarder::on_body_wanted(UpstreamConnection& upstream, bool& complete) {
   PendingRequest& request = *requests_.find(upstream.attempt_id().request);
   PendingAttempt& attempt = request.attempts[std::size_t(upstream.attempt_id().number)];
   BufferChain next(loop_.pool());
   BufferChain& body = request.message.body;
-  if (request.streams) {
-    request.spent = true;
+  if (request.streams_body) {
+    request.body_consumed = true;
     BufferChain part = std::exchange(body, BufferChain(loop_.pool()));
     if (request.downstream) request.downstream->hold_back(false);
-    if (request.length) next = std::move(part);
+    if (request.body_length) next = std::move(part);
     else write_chunk(next, part);
-    if (!request.coming && !request.length && !std::exchange(attempt.body_sent, 1)) write_last_chunk(next);
-    whole = !request.coming && next.empty();
+    if (!request.body_incomplete && !request.body_length && !std::exchange(attempt.body_bytes_sent, 1))
+      write_last_chunk(next);
+    complete = !request.body_incomplete && next.empty();
     return next;
   }
-  whole = body.size() <= kInOne || attempt.body_sent == body.size();
-  if (whole) return next;
-  next.add(body, attempt.body_sent, kInOne);
-  attempt.body_sent += next.size();
+  complete = body.size() <= kBodyPartBytes || attempt.body_bytes_sent == body.size();
+  if (complete) return next;
+  next.add(body, attempt.body_bytes_sent, kBodyPartBytes);
+  attempt.body_bytes_sent += next.size();
   return next;
 }
 
 void RequestForwarder::on_part(RequestId id, BufferChain bytes, bool whole) {
   PendingRequest& request = *requests_.find(id);
   request.message.body.add(bytes);
-  request.coming = !whole;
+  request.body_incomplete = !whole;
   if (whole) {
-    const double came = loop_.now() - loop_.stalled();
-    request.until = std::min(came + request.time_left, gone_.value_or(kNever));
-    loop_.at(request.until - kBeforeEnd, alive_.guard([this, id] { out_of_patience(id); }));
+    const double arrived_at = loop_.now() - loop_.stalled();
+    request.deadline = std::min(arrived_at + request.remaining_time_s, shutdown_deadline_.value_or(kNever));
+    loop_.at(request.deadline - kDeadlineMargin, alive_.guard([this, id] { on_upload_deadline(id); }));
   }
-  bool sends = false;
+  bool has_connection = false;
   for (PendingAttempt& attempt : request.attempts) {
-    if (attempt.upstream) sends = true, attempt.upstream->push();
+    if (attempt.upstream) {
+      has_connection = true;
+      attempt.upstream->send_more_body();
+    }
   }
-  // Until it goes out, or where that is slower than it comes in, no more of it is read.
-  if (!whole && request.downstream && request.message.body.size() > (sends ? kInOne : kMostUnsent))
+  // Reading from the client pauses while too much of the body waits to be sent.
+  if (!whole && request.downstream &&
+      request.message.body.size() > (has_connection ? kBodyPartBytes : kMaxUnsentBytes))
     request.downstream->hold_back(true);
 }
 
-// The module was told of a time that no request reaches, as the client's own began only with the last byte.
-void RequestForwarder::out_of_patience(RequestId id) {
+// The policy was told kMaxUploadTime as the request's remaining time, as the client's own time only started
+// with the last byte of the body. So the deadline is kept here.
+void RequestForwarder::on_upload_deadline(RequestId id) {
   PendingRequest* request = requests_.find(id);
   if (!request || request->concluded()) return;
   conclude(id, 502, nullptr, "", "errored: it may or may not have run\n");
   policy_->on_request_cancelled(loop_.now(), id);
 }
 
-void RequestForwarder::on_begun(UpstreamConnection& upstream, HttpMessage answer,
-                                std::optional<std::size_t> size) {
+void RequestForwarder::on_response_started(UpstreamConnection& upstream, HttpMessage response,
+                                           std::optional<std::size_t> length) {
   auto [id, number] = upstream.attempt_id();
   PendingRequest& request = *requests_.find(id);
   PendingAttempt& attempt = request.attempts[std::size_t(number)];
   double now = loop_.now();
   bool late = request.concluded() || attempt.reported;
   if (late) {
-    let_go(upstream);
-    return end_soon(id, number, Outcome::Cancelled);
+    detach_and_close(upstream);
+    return report_attempt_end_soon(id, number, Outcome::Cancelled);
   }
-  attempt.upstream = nullptr, attempt.reported = true;
-  if (attempt.stood_idle) kept_uses_.record(*attempt.stood_idle, false);
+  attempt.upstream = nullptr;
+  attempt.reported = true;
+  if (attempt.reused_after_idle_s) idle_reuse_.record(*attempt.reused_after_idle_s, false);
   request.relay = &upstream;
-  Load load = read_load(answer.header("X-Backend-Load"));
-  loop_.at(request.until, alive_.guard([this, id] { look_at_relay(id); }));
-  request.downstream->begin_answer(answer, size);
-  on_more(upstream, std::move(answer.body));
-  policy_->on_attempt_ended(now, {id, number, Outcome::Delivered, true, now - attempt.sent, load});
+  Load load = read_load(response.header("X-Backend-Load"));
+  loop_.at(request.deadline, alive_.guard([this, id] { check_relay(id); }));
+  request.downstream->begin_answer(response, length);
+  on_response_part(upstream, std::move(response.body));
+  policy_->on_attempt_ended(now, {id, number, Outcome::Delivered, true, now - attempt.started_at, load});
 }
 
-// It was passed on as it is, or may be, a long one, which has time beyond the request's. If it is short by
-// then and stops, or goes on by a few bytes at a time, its client must not wait for it any longer.
-void RequestForwarder::look_at_relay(RequestId id) {
+// Called from the request's deadline on. A long response may go on past it. A response that is still short
+// may have been relayed only because its length is unknown: its client must not wait for it any longer if it
+// stalls or arrives a few bytes at a time.
+void RequestForwarder::check_relay(RequestId id) {
   PendingRequest* request = requests_.find(id);
-  if (!request || !request->relay || request->relay->is_long()) return;
-  if (request->relay->silent() >= kStoppedLate || request->relay->crawls(kLeastPace))
-    return request->relay->stop();
-  loop_.at(loop_.now() + kStoppedLate / 2, alive_.guard([this, id] { look_at_relay(id); }));
+  if (!request || !request->relay || request->relay->response_is_long()) return;
+  if (request->relay->silent_for() >= kShortRelayStallTimeout ||
+      request->relay->response_slower_than(kMinRelayRate))
+    return request->relay->abort_response();
+  loop_.at(loop_.now() + kShortRelayStallTimeout / 2, alive_.guard([this, id] { check_relay(id); }));
 }
 
-void RequestForwarder::on_more(UpstreamConnection& upstream, BufferChain bytes) {
+void RequestForwarder::on_response_part(UpstreamConnection& upstream, BufferChain bytes) {
   DownstreamConnection& downstream = *requests_.find(upstream.attempt_id().request)->downstream;
   downstream.more(std::move(bytes));
-  if (downstream.behind()) upstream.hold_back(true);
+  if (downstream.behind()) upstream.pause_reading(true);
 }
 
 void RequestForwarder::on_drained(RequestId id) {
   PendingRequest* request = requests_.find(id);
-  if (request && request->relay) request->relay->hold_back(false);
+  if (request && request->relay) request->relay->pause_reading(false);
 }
 
-DownstreamConnection* RequestForwarder::end_relay(RequestId id, RequestOutcome how) {
+DownstreamConnection* RequestForwarder::end_relay(RequestId id, RequestOutcome outcome) {
   PendingRequest& request = *requests_.find(id);
-  counters_.record_outcome(index_of(*request.request_class), how);
+  counters_.record_outcome(index_of(*request.request_class), outcome);
   request.relay = nullptr;
   DownstreamConnection* downstream = std::exchange(request.downstream, nullptr);
   downstream->request.reset();
-  requests_.forget_if_over(id);
+  requests_.remove_if_finished(id);
   return downstream;
 }
 
-void RequestForwarder::on_finished(UpstreamConnection& upstream, BufferChain bytes) {
+void RequestForwarder::on_response_finished(UpstreamConnection& upstream, BufferChain bytes) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Delivered);
   downstream->more(std::move(bytes));
   downstream->end_answer();
-  keep_or_close(no_longer_busy(upstream));
+  keep_or_close(take_busy(upstream));
 }
 
-void RequestForwarder::on_cut(UpstreamConnection& upstream) {
+void RequestForwarder::on_response_aborted(UpstreamConnection& upstream) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Failed);
-  loop_.bury(no_longer_busy(upstream));
+  loop_.bury(take_busy(upstream));
   downstream->cut_answer();
 }
 
-std::unique_ptr<UpstreamConnection> RequestForwarder::no_longer_busy(const UpstreamConnection& upstream) {
-  auto at = busy_.find(&upstream);
-  std::unique_ptr<UpstreamConnection> taken = std::move(at->second);
-  busy_.erase(at);
+std::unique_ptr<UpstreamConnection> RequestForwarder::take_busy(const UpstreamConnection& upstream) {
+  auto found = busy_.find(&upstream);
+  std::unique_ptr<UpstreamConnection> taken = std::move(found->second);
+  busy_.erase(found);
   return taken;
 }
 
 void RequestForwarder::keep_or_close(std::unique_ptr<UpstreamConnection> upstream) {
-  if (upstream->rising() && !retired_) {
-    auto& there = rising_[upstream->endpoint()];
-    if (there.size() < kMostRising) return there.push_back(std::move(upstream));
+  if (upstream->connecting_as_spare() && !retired_at_) {
+    auto& spares = spares_[upstream->endpoint()];
+    if (spares.size() < kMaxSparesPerEndpoint) return spares.push_back(std::move(upstream));
   }
-  if (!upstream->idle()) return upstream->give_up(), loop_.bury(std::move(upstream));
-  if (retired_) return pass_on(std::move(upstream), loop_.now());
+  if (!upstream->idle()) {
+    upstream->close();
+    return loop_.bury(std::move(upstream));
+  }
+  if (retired_at_) return hand_to_successor(std::move(upstream), loop_.now());
   std::string endpoint = upstream->endpoint();
   idle_.add(endpoint, std::move(upstream), loop_.now());
 }
 
-void RequestForwarder::on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage answer) {
+void RequestForwarder::on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage response) {
   auto [id, number] = upstream.attempt_id();
-  keep_or_close(no_longer_busy(upstream));
+  keep_or_close(take_busy(upstream));
   PendingAttempt& attempt = requests_.find(id)->attempts[std::size_t(number)];
   attempt.upstream = nullptr;
-  if (attempt.stood_idle) kept_uses_.record(*attempt.stood_idle, outcome == Outcome::Stale);
-  ended(id, number, outcome, &answer);
+  if (attempt.reused_after_idle_s)
+    idle_reuse_.record(*attempt.reused_after_idle_s, outcome == Outcome::Stale);
+  report_attempt_end(id, number, outcome, &response);
 }
 
-Outcome RequestForwarder::outcome_of(const HttpMessage& answer) const {
-  return options_.relay_any_status ? outcome_of_any(answer) : puffinvane::outcome_of(answer);
+Outcome RequestForwarder::outcome_of(const HttpMessage& response) const {
+  return options_.relay_any_status ? outcome_of_any(response) : puffinvane::outcome_of(response);
 }
 
-void RequestForwarder::on_idle_end(UpstreamConnection& upstream) {
-  std::unique_ptr<UpstreamConnection> risen = no_longer_rising(upstream);
-  loop_.bury(risen ? std::move(risen) : idle_.remove(upstream.endpoint(), upstream));
+void RequestForwarder::on_unused_closed(UpstreamConnection& upstream) {
+  std::unique_ptr<UpstreamConnection> spare = take_spare(upstream);
+  loop_.bury(spare ? std::move(spare) : idle_.remove(upstream.endpoint(), upstream));
 }
 
-void RequestForwarder::out_of_time(RequestId id, int number) {
+void RequestForwarder::on_attempt_deadline(RequestId id, int number) {
   PendingRequest* request = requests_.find(id);
   if (!request) return;
   UpstreamConnection* upstream = request->attempts[std::size_t(number)].upstream;
   if (!upstream) return;
-  Outcome outcome = upstream->held_up() ? Outcome::NotSent : Outcome::TimedOut;
-  let_go(*upstream);
-  ended(id, number, outcome, nullptr);
+  Outcome outcome = upstream->blocked_locally() ? Outcome::NotSent : Outcome::TimedOut;
+  detach_and_close(*upstream);
+  report_attempt_end(id, number, outcome, nullptr);
 }
 
-void RequestForwarder::end_soon(RequestId id, int number, Outcome outcome) {
-  loop_.soon(alive_.guard([this, id, number, outcome] { ended(id, number, outcome, nullptr); }));
+void RequestForwarder::report_attempt_end_soon(RequestId id, int number, Outcome outcome) {
+  loop_.soon(alive_.guard([this, id, number, outcome] { report_attempt_end(id, number, outcome, nullptr); }));
 }
 
-void RequestForwarder::ended(RequestId id, int number, Outcome outcome, HttpMessage* answer) {
+void RequestForwarder::report_attempt_end(RequestId id, int number, Outcome outcome, HttpMessage* response) {
   PendingRequest* request = requests_.find(id);
   if (!request || request->attempts[std::size_t(number)].reported) return;
   request->attempts[std::size_t(number)].reported = true;
   double now = loop_.now();
   if (outcome == Outcome::Delivered)
-    conclude(id, options_.relay_any_status ? answer->status : 200, answer, "", "");
-  Load load = answer ? read_load(answer->header("X-Backend-Load")) : Load();
-  if (options_.relay_any_status && outcome == Outcome::Failed && answer && answer->status > 0 &&
+    conclude(id, options_.relay_any_status ? response->status : 200, response, "", "");
+  Load load = response ? read_load(response->header("X-Backend-Load")) : Load();
+  if (options_.relay_any_status && outcome == Outcome::Failed && response && response->status > 0 &&
       !request->concluded())
-    request->failed = std::move(*answer);
+    request->error_response = std::move(*response);
   policy_->on_attempt_ended(now, {id, number, outcome, request->concluded(),
-                                  now - request->attempts[std::size_t(number)].sent, load});
-  requests_.forget_if_over(id);
+                                  now - request->attempts[std::size_t(number)].started_at, load});
+  requests_.remove_if_finished(id);
 }
 
 // ---- clients
@@ -481,12 +518,12 @@
   PendingRequest& request = *requests_.find(id);
   request.downstream = nullptr;
   if (UpstreamConnection* relay = std::exchange(request.relay, nullptr)) {
-    relay->give_up();
-    loop_.bury(no_longer_busy(*relay));
-    return requests_.forget_if_over(id);
+    relay->close();
+    loop_.bury(take_busy(*relay));
+    return requests_.remove_if_finished(id);
   }
   policy_->on_request_cancelled(loop_.now(), id);
-  requests_.forget_if_over(id);
+  requests_.remove_if_finished(id);
 }
 
 const RequestClass* RequestForwarder::find_class(std::string_view name) const {
@@ -497,113 +534,141 @@
 }
 
 void RequestForwarder::forward(DownstreamConnection& downstream, HttpMessage message,
-                               const RequestClass& request_class, double time_left) {
-  // It may have lain unread for all of a stall, at the listener or behind another one; its client has counted
-  // on meanwhile. An upload's time begins with its last byte.
-  double lain = downstream.uploading() ? 0 : std::max(loop_.stalled(), downstream.lain());
-  time_left = std::max(0.0, time_left - lain);
+                               const RequestClass& request_class, double remaining_time_s) {
+  // The request may have waited unread, at the listener, behind another request or while this process was
+  // stalled, and the client's timeout has been running meanwhile. That of an upload starts with its last
+  // byte.
+  double waited_s = downstream.uploading() ? 0 : std::max(loop_.stalled(), downstream.lain());
+  remaining_time_s = std::max(0.0, remaining_time_s - waited_s);
   double now = loop_.now();
-  if (gone_) time_left = std::clamp(*gone_ - now, 0.0, time_left);
-  last_request_ = now;
+  if (shutdown_deadline_) remaining_time_s = std::clamp(*shutdown_deadline_ - now, 0.0, remaining_time_s);
+  last_request_at_ = now;
   std::string tenant(message.header("X-Account"));
-  std::string said(message.header("X-Facts"));
-  RequestFacts facts = read_facts(said);
-  PendingRequest taken{std::move(message)};
-  taken.until = now + time_left, taken.time_left = time_left;
-  taken.downstream = &downstream, taken.request_class = &request_class;
+  std::string facts_header(message.header("X-Facts"));
+  RequestFacts facts = read_facts(facts_header);
+  PendingRequest request{std::move(message)};
+  request.deadline = now + remaining_time_s;
+  request.remaining_time_s = remaining_time_s;
+  request.downstream = &downstream;
+  request.request_class = &request_class;
   if (downstream.uploading()) {
-    taken.streams = taken.coming = true, taken.length = downstream.length();
-    taken.until = now + kUploading, time_left = kUploading;
+    request.streams_body = true;
+    request.body_incomplete = true;
+    request.body_length = downstream.length();
+    request.deadline = now + kMaxUploadTime;
+    remaining_time_s = kMaxUploadTime;
   }
-  RequestId id = requests_.add(std::move(taken));
+  RequestId id = requests_.add(std::move(request));
   downstream.request = {this, id};
-  policy_->on_request(now, {id, request_class.name, tenant, time_left, facts.key, facts.work});
+  policy_->on_request(now, {id, request_class.name, tenant, remaining_time_s, facts.key, facts.work});
 }
 
-// ---- endpoints and their list
+// ---- connections to endpoints
 
 void RequestForwarder::drop_oldest_idle() {
-  if (!rising_.empty()) return drop_rising(std::string(rising_.begin()->first));
+  if (!spares_.empty()) return close_spares(std::string(spares_.begin()->first));
   std::unique_ptr<UpstreamConnection> oldest = idle_.take_oldest(std::numeric_limits<double>::infinity());
-  if (oldest) oldest->give_up(), loop_.bury(std::move(oldest));
+  if (oldest) {
+    oldest->close();
+    loop_.bury(std::move(oldest));
+  }
 }
 
-void RequestForwarder::drop_rising(const std::string& endpoint) {
-  auto there = rising_.extract(endpoint);
-  if (there.empty()) return;
-  for (auto& one : there.mapped()) one->give_up(), loop_.bury(std::move(one));
+void RequestForwarder::close_spares(const std::string& endpoint) {
+  auto spares = spares_.extract(endpoint);
+  if (spares.empty()) return;
+  for (auto& spare : spares.mapped()) {
+    spare->close();
+    loop_.bury(std::move(spare));
+  }
 }
 
-void RequestForwarder::drop_connections(const std::string& endpoint) {
-  drop_rising(endpoint);
-  while (std::unique_ptr<UpstreamConnection> kept = idle_.take_most_recent(endpoint))
-    kept->give_up(), loop_.bury(std::move(kept));
-  // Rule 3: a connect time-out may be longer than the grace, and the request is written at its end.
-  std::vector<UpstreamConnection*> coming_up;
+// Closes all connections to the endpoint but those that an attempt was sent on.
+void RequestForwarder::close_connections(const std::string& endpoint) {
+  close_spares(endpoint);
+  while (std::unique_ptr<UpstreamConnection> idle = idle_.take_most_recent(endpoint)) {
+    idle->close();
+    loop_.bury(std::move(idle));
+  }
+  // A draining endpoint gets no attempts after a grace period (rule 3). The connect timeout may be longer
+  // than that, and the attempt is only sent once the connection is established.
+  std::vector<UpstreamConnection*> connecting;
   for (auto& [key, upstream] : busy_) {
-    if (upstream->connecting() && upstream->endpoint() == endpoint) coming_up.push_back(upstream.get());
+    if (upstream->connecting() && upstream->endpoint() == endpoint) connecting.push_back(upstream.get());
   }
-  for (UpstreamConnection* upstream : coming_up) {
-    auto [id, number] = let_go(*upstream);
-    end_soon(id, number, Outcome::ConnectFailed);
+  for (UpstreamConnection* upstream : connecting) {
+    auto [id, number] = detach_and_close(*upstream);
+    report_attempt_end_soon(id, number, Outcome::ConnectFailed);
   }
 }
 
-UpstreamConnection::AttemptId RequestForwarder::let_go(UpstreamConnection& upstream) {
+// Returns the attempt that the connection carried, whose end is still to be reported.
+UpstreamConnection::AttemptId RequestForwarder::detach_and_close(UpstreamConnection& upstream) {
   UpstreamConnection::AttemptId attempt_id = upstream.attempt_id();
   requests_.find(attempt_id.request)->attempts[std::size_t(attempt_id.number)].upstream = nullptr;
-  upstream.give_up();
+  upstream.close();
   loop_.bury(std::move(busy_.extract(&upstream).mapped()));
   return attempt_id;
 }
 
-void RequestForwarder::load_cached_list(const EndpointList& known) { note_entries(known, ListScope::Cached); }
+void RequestForwarder::close_expired_idle() {
+  double now = loop_.now();
+  while (std::unique_ptr<UpstreamConnection> expired =
+             idle_.take_oldest(now - kMaxIdleShare * deployment_.idle_timeout_s)) {
+    expired->close();
+    loop_.bury(std::move(expired));
+  }
+  loop_.at(now + kIdleCheckInterval, alive_.guard([this] { close_expired_idle(); }));
+}
 
-void RequestForwarder::on_endpoint_list(const EndpointList& notified) {
-  if (listed_.empty())
-    return note_entries(notified, notified.is_snapshot ? ListScope::Full : ListScope::Changes);
-  EndpointList changes = news(notified);
-  index_ = notified.index;
-  if (!changes.entries.empty()) note_entries(changes, ListScope::Changes);
+// ---- the endpoint list
+
+void RequestForwarder::load_cached_list(const EndpointList& cached) { apply_list(cached, ListScope::Cached); }
+
+void RequestForwarder::on_endpoint_list(const EndpointList& list) {
+  if (listed_.empty()) return apply_list(list, list.is_snapshot ? ListScope::Full : ListScope::Changes);
+  EndpointList changes = changes_in(list);
+  list_index_ = list.index;
+  if (!changes.entries.empty()) apply_list(changes, ListScope::Changes);
 }
 
-// No start goes back: one taken back by order is in slow start, though the list, told again, knows nothing of
-// that.
+// A start time never goes back. include_endpoint sets it to begin a slow start, which discovery doesn't know
+// of when it lists the endpoint again.
 double RequestForwarder::latest_start(const ListEntry& entry) const {
   auto known = listed_.find(entry.endpoint);
   return known == listed_.end() ? entry.online_since_s
                                 : std::max(entry.online_since_s, known->second.online_since_s);
 }
 
-bool RequestForwarder::same_as_known(const ListEntry& entry, const std::string& address) const {
+bool RequestForwarder::is_unchanged(const ListEntry& entry, const std::string& address) const {
   auto known = listed_.find(entry.endpoint);
   if (known == listed_.end()) return entry.state == ListedState::Removed;
   return known->second == entry && (address.empty() || known->second.address == address);
 }
 
-// Of a list what is not known yet: what it holds comes again and again, and the module looks at each entry
-// that it is told.
-EndpointList RequestForwarder::news(const EndpointList& list) const {
+// The entries of `list` that change what is known, as lists repeat themselves and the policy works through
+// each entry that it is told.
+EndpointList RequestForwarder::changes_in(const EndpointList& list) const {
   EndpointList changes;
   changes.index = list.index;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry entry = list.entries[i];
     entry.online_since_s = latest_start(entry);
-    if (same_as_known(entry, list.addresses[i])) continue;
+    if (is_unchanged(entry, list.addresses[i])) continue;
     changes.entries.push_back(std::move(entry));
     changes.addresses.push_back(list.addresses[i]);
   }
-  if (list.is_snapshot) add_left_out(list, changes);
+  if (list.is_snapshot) add_missing_as_removed(list, changes);
   return changes;
 }
 
-// What a whole list leaves out is gone without a word.
-void RequestForwarder::add_left_out(const EndpointList& whole, EndpointList& changes) const {
-  std::unordered_set<std::string_view> there;
-  for (const ListEntry& entry : whole.entries) there.insert(entry.endpoint);
-  for (const auto& [name, notified] : listed_) {
-    if (there.contains(name)) continue;
-    changes.entries.push_back(notified);
+// An endpoint that a snapshot leaves out was removed.
+void RequestForwarder::add_missing_as_removed(const EndpointList& snapshot, EndpointList& changes) const {
+  std::unordered_set<std::string_view> present;
+  for (const ListEntry& entry : snapshot.entries) present.insert(entry.endpoint);
+  for (const auto& [name, listed] : listed_) {
+    if (present.contains(name)) continue;
+    changes.entries.push_back(listed);
     changes.entries.back().state = ListedState::Removed;
     changes.addresses.emplace_back();
   }
@@ -611,135 +676,140 @@
 
 EndpointList RequestForwarder::endpoint_list() const {
   EndpointList list;
-  list.index = index_, list.is_snapshot = true;
-  for (const auto& [name, notified] : listed_)
-    list.entries.push_back(notified), list.addresses.push_back(notified.address);
+  list.index = list_index_;
+  list.is_snapshot = true;
+  for (const auto& [name, listed] : listed_) {
+    list.entries.push_back(listed);
+    list.addresses.push_back(listed.address);
+  }
   return list;
 }
 
-std::size_t RequestForwarder::active_request_count() const { return requests_.under_way(); }
+std::size_t RequestForwarder::active_request_count() const { return requests_.active_count(); }
 
 std::size_t RequestForwarder::avoided_endpoint_count() const {
-  auto going = [this](const auto& one) {
-    return one.second.state != ListedState::Ready || out_.contains(one.first);
+  auto draining_or_excluded = [this](const auto& one) {
+    return one.second.state != ListedState::Ready || excluded_.contains(one.first);
   };
   return policy_->avoided_endpoint_count() +
-         std::size_t(std::count_if(listed_.begin(), listed_.end(), going));
+         std::size_t(std::count_if(listed_.begin(), listed_.end(), draining_or_excluded));
 }
 
 bool RequestForwarder::knows_endpoint(std::string_view endpoint) const {
-  return listed_.contains(endpoint) || std::find(lately_.begin(), lately_.end(), endpoint) != lately_.end();
+  return listed_.contains(endpoint) ||
+         std::find(recently_removed_.begin(), recently_removed_.end(), endpoint) != recently_removed_.end();
 }
 
 void RequestForwarder::exclude_endpoint(std::string_view endpoint) {
   std::string name(endpoint);
-  out_.insert(name);
-  drop_connections(name);
-  if (auto found = listed_.find(endpoint); found != listed_.end()) notify(found->second);
+  excluded_.insert(name);
+  close_connections(name);
+  if (auto found = listed_.find(endpoint); found != listed_.end()) notify_policy(found->second);
 }
 
-void RequestForwarder::include_endpoint(std::string_view endpoint, double out_since) {
-  out_.erase(std::string(endpoint));
+void RequestForwarder::include_endpoint(std::string_view endpoint, double excluded_at) {
+  excluded_.erase(std::string(endpoint));
   auto found = listed_.find(endpoint);
   if (found == listed_.end()) return;
-  // It was taken out to be restarted. Where the list has not heard of that yet it is taken for fresh all the
-  // same, from now: rule 4 costs a warm endpoint some seconds of little work, a fresh one everything.
+  // Endpoints are usually excluded to be restarted. If the list reports no start since, one is assumed now:
+  // a slow start (rule 4) costs a warm endpoint a few seconds of little load, but full load would overload
+  // one that has just started.
   ListEntry& entry = found->second;
-  if (entry.online_since_s < out_since) entry.online_since_s = loop_.now();
-  notify(entry);
+  if (entry.online_since_s < excluded_at) entry.online_since_s = loop_.now();
+  notify_policy(entry);
 }
 
+// The entry as the policy is told of it: with operator overrides and this instance's share applied.
 ListEntry RequestForwarder::as_notified(ListEntry entry) const {
-  if (out_.contains(entry.endpoint) && entry.state == ListedState::Ready) entry.state = ListedState::Draining;
-  if (parts_.empty()) return entry;
-  // One that is others' is not shut: it is what there is when all of its own are out.
-  auto part = parts_.find(entry.endpoint);
-  entry.weight = part == parts_.end() ? kOthers : std::max(kOthers, part->second);
+  if (excluded_.contains(entry.endpoint) && entry.state == ListedState::Ready)
+    entry.state = ListedState::Draining;
+  if (shares_.empty()) return entry;
+  // Endpoints that belong to other instances stay usable, for when all of this instance's own are down.
+  auto share = shares_.find(entry.endpoint);
+  entry.weight = share == shares_.end() ? kWeightOutsideShare : std::max(kWeightOutsideShare, share->second);
   return entry;
 }
 
-void RequestForwarder::set_endpoint_shares(std::map<std::string, double, std::less<>> parts, int place,
-                                           int sidecars) {
-  parts_ = std::move(parts);
-  policy_->on_instance_position({place, sidecars});
-  std::vector<ListEntry> notified;
-  for (const auto& [name, entry] : listed_) notified.push_back(as_notified(entry));
-  policy_->on_endpoint_list(loop_.now(), ListScope::Changes, notified);
+void RequestForwarder::set_endpoint_shares(std::map<std::string, double, std::less<>> shares,
+                                           int instance_index, int instance_count) {
+  shares_ = std::move(shares);
+  policy_->on_instance_position({instance_index, instance_count});
+  std::vector<ListEntry> entries;
+  for (const auto& [name, listed] : listed_) entries.push_back(as_notified(listed));
+  policy_->on_endpoint_list(loop_.now(), ListScope::Changes, entries);
 }
 
-void RequestForwarder::notify(const ListEntry& entry) {
+void RequestForwarder::notify_policy(const ListEntry& entry) {
   ListEntry notified = as_notified(entry);
   policy_->on_endpoint_list(loop_.now(), ListScope::Changes, {&notified, 1});
 }
 
-void RequestForwarder::note_listed(const ListEntry& entry, const std::string& address) {
-  if (entry.state == ListedState::Removed) return note_gone(entry.endpoint);
-  auto& notified = listed_[entry.endpoint];
-  static_cast<ListEntry&>(notified) = entry;
-  if (!address.empty()) notified.address = address;
-}
-
-// Two may be listed at one address for a while, the old one not yet known to be gone, or on its way out. Only
-// one can listen there: who is ready, and of those who started last. The list comes again and again, and must
-// not pass it to and fro.
-void RequestForwarder::note_address(const ListedEndpoint& notified) {
-  if (notified.state != ListedState::Ready || notified.address.empty()) return;
-  if (const std::string* has = addresses_.endpoint_at(notified.address); has && *has != notified.endpoint) {
-    auto owner = listed_.find(*has);
-    bool ready = owner != listed_.end() && owner->second.state == ListedState::Ready;
-    if (ready && owner->second.online_since_s > notified.online_since_s) return;
+void RequestForwarder::update_listed(const ListEntry& entry, const std::string& address) {
+  if (entry.state == ListedState::Removed) return remove_listed(entry.endpoint);
+  auto& listed = listed_[entry.endpoint];
+  static_cast<ListEntry&>(listed) = entry;
+  if (!address.empty()) listed.address = address;
+}
+
+// Gives a Ready endpoint its listed address, unless the present holder has the better claim. For a while two
+// endpoints may be listed at one address, the former one being about to leave or not yet known to be gone.
+// Only one can listen there: the one that is Ready, and among Ready ones the one that started last. Lists
+// repeat themselves, and the address must not change hands each time.
+void RequestForwarder::claim_address(const ListedEndpoint& listed) {
+  if (listed.state != ListedState::Ready || listed.address.empty()) return;
+  if (const std::string* holder = addresses_.endpoint_at(listed.address);
+      holder && *holder != listed.endpoint) {
+    auto found = listed_.find(*holder);
+    bool holder_ready = found != listed_.end() && found->second.state == ListedState::Ready;
+    if (holder_ready && found->second.online_since_s > listed.online_since_s) return;
   }
-  for (const std::string& stale : addresses_.assign(notified.endpoint, notified.address)) {
-    drop_connections(stale);
-    if (listed_.contains(stale)) unplaced_.insert(stale);
+  for (const std::string& stale : addresses_.assign(listed.endpoint, listed.address)) {
+    close_connections(stale);
+    if (listed_.contains(stale)) without_address_.insert(stale);
   }
-  unplaced_.erase(notified.endpoint);
+  without_address_.erase(listed.endpoint);
 }
 
-void RequestForwarder::place(const ListedEndpoint& notified) {
-  note_address(notified);
-  if (!addresses_.find(notified.endpoint)) unplaced_.insert(notified.endpoint);
+void RequestForwarder::set_address(const ListedEndpoint& listed) {
+  claim_address(listed);
+  if (!addresses_.find(listed.endpoint)) without_address_.insert(listed.endpoint);
 }
 
-// Who had the address of one of them may have just left it.
-void RequestForwarder::place_the_unplaced() {
-  for (const std::string& name : std::set<std::string>(unplaced_)) note_address(listed_.at(name));
+// The holder of an address that one of them is listed with may have left just now.
+void RequestForwarder::retry_missing_addresses() {
+  for (const std::string& name : std::set<std::string>(without_address_)) claim_address(listed_.at(name));
 }
 
-void RequestForwarder::note_gone(const std::string& endpoint) {
-  unplaced_.erase(endpoint);
+void RequestForwarder::remove_listed(const std::string& endpoint) {
+  without_address_.erase(endpoint);
   if (listed_.erase(endpoint) == 0) return;
-  if (std::find(lately_.begin(), lately_.end(), endpoint) == lately_.end()) lately_.push_back(endpoint);
-  if (lately_.size() > kLately) lately_.pop_front();
+  if (std::find(recently_removed_.begin(), recently_removed_.end(), endpoint) == recently_removed_.end())
+    recently_removed_.push_back(endpoint);
+  if (recently_removed_.size() > kMaxRecentlyRemoved) recently_removed_.pop_front();
 }
 
-void RequestForwarder::note_entries(const EndpointList& list, ListScope scope) {
-  std::set<std::string> listed;
-  index_ = list.index;
+void RequestForwarder::apply_list(const EndpointList& list, ListScope scope) {
+  std::set<std::string> present;
+  list_index_ = list.index;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     const ListEntry& entry = list.entries[i];
-    listed.insert(entry.endpoint);
-    note_listed(entry, list.addresses[i]);
-    if (entry.state != ListedState::Ready) drop_connections(entry.endpoint);
+    present.insert(entry.endpoint);
+    update_listed(entry, list.addresses[i]);
+    if (entry.state != ListedState::Ready) close_connections(entry.endpoint);
     if (entry.state == ListedState::Removed) addresses_.erase(entry.endpoint);
-    else place(listed_.at(entry.endpoint));
+    else set_address(listed_.at(entry.endpoint));
   }
-  if (list.is_snapshot) {  // what a whole list leaves out is gone without a word
-    for (const std::string& gone : addresses_.not_listed_in(listed))
-      drop_connections(gone), addresses_.erase(gone), note_gone(gone);
+  if (list.is_snapshot) {  // an endpoint that a snapshot leaves out was removed
+    for (const std::string& removed : addresses_.not_listed_in(present)) {
+      close_connections(removed);
+      addresses_.erase(removed);
+      remove_listed(removed);
+    }
   }
-  place_the_unplaced();
-  std::vector<ListEntry> notified = list.entries;
-  for (ListEntry& entry : notified) entry = as_notified(std::move(entry));
-  policy_->on_endpoint_list(loop_.now(), scope, notified);
-}
-
-void RequestForwarder::sweep() {
-  double now = loop_.now();
-  while (std::unique_ptr<UpstreamConnection> old =
-             idle_.take_oldest(now - kIdleShare * deployment_.idle_timeout_s))
-    old->give_up(), loop_.bury(std::move(old));
-  loop_.at(now + kSweep, alive_.guard([this] { sweep(); }));
+  retry_missing_addresses();
+  std::vector<ListEntry> entries = list.entries;
+  for (ListEntry& entry : entries) entry = as_notified(std::move(entry));
+  policy_->on_endpoint_list(loop_.now(), scope, entries);
 }
 
 }  // namespace puffinvane
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -1,5 +1,5 @@
-// Carries requests: tells the module what happens on the sockets and does what it asks. It decides nothing
-// but which connection to use, reuse and close.
+// Forwards the requests of one pool: reports what happens on the connections to the policy and carries out
+// what the policy asks for. Of its own it decides only which connections to use, reuse and close.
 #pragma once
 
 #include <deque>
@@ -24,16 +24,18 @@
 
 namespace puffinvane {
 
-// Who makes the decisions: puffinvane's module, or a baseline.
+// Makes the policy that decides: the product's own, or a baseline that it is compared with.
 using PolicyFactory =
     std::function<std::unique_ptr<Policy>(double now, Deployment deployment, std::uint64_t seed, Host& host)>;
 
 // How a pool's endpoints are talked to.
 struct ForwarderOptions {
-  bool relay_any_status = false;  // they are servers like any other: their statuses reach the clients
-  std::size_t max_body_bytes = HttpReader::kMostBody;
-  std::string pool_name;       // its name in the log; none: there is but one
-  bool stream_bodies = false;  // longer bodies go on in parts
+  // Endpoints are ordinary HTTP servers: clients get their status codes. Else a delivered response is sent on
+  // as 200.
+  bool relay_any_status = false;
+  std::size_t max_body_bytes = HttpReader::kMostBody;  // of a response
+  std::string pool_name;                               // for the log; empty if there is only one pool
+  bool stream_bodies = false;                          // longer responses are relayed while they arrive
 };
 
 class RequestForwarder final : public Host,
@@ -46,141 +48,162 @@
                    PolicyFactory make, ForwarderOptions options = {});
   ~RequestForwarder() override;
 
-  void load_cached_list(const EndpointList& known);  // the list as it was had last
-  void begin_shutdown(double gone);  // no request has time beyond that, also none of those in hand
-  // Takes no more requests and keeps no connection: those that stand idle, and later those that still carry a
-  // attempt, go to its successors in turn. Once can_be_destroyed() it may be let go of: nothing calls it any
-  // more.
+  void load_cached_list(const EndpointList& cached);  // a list kept from earlier, until discovery answers
+  void begin_shutdown(double deadline);  // every request, also a pending one, has to end by `deadline`
+  // Called when no more requests are forwarded to it. Hands its idle connections, and others once their
+  // attempts end, to the successors in turn. Once can_be_destroyed(), nothing calls it any more.
   void retire(const std::vector<RequestForwarder*>& successors);
   bool can_be_destroyed() const;
-  // What an earlier one's module has learned, and that share of its rates.
-  void import_learned_state(const LearnedState& earlier, double share) {
-    policy_->import_learned_state(loop_.now(), earlier, share);
+  // Takes over what the policy of a predecessor has learned. rate_share: the part of the predecessor's
+  // requests that will come here.
+  void import_learned_state(const LearnedState& earlier, double rate_share) {
+    policy_->import_learned_state(loop_.now(), earlier, rate_share);
   }
   LearnedState export_learned_state() const { return policy_->export_learned_state(); }
   const Deployment& deployment() const { return deployment_; }
   const RequestClass* find_class(std::string_view name) const;
+  // request_class: of this forwarder's deployment, here and below.
   std::size_t index_of(const RequestClass& request_class) const {
     return std::size_t(&request_class - deployment_.request_classes.data());
   }
   const RequestCounters& counters() const { return counters_; }
-  std::size_t active_request_count() const;  // requests taken and not ended
+  std::size_t active_request_count() const;  // requests neither answered nor abandoned by their clients
   std::size_t listed_endpoint_count() const { return listed_.size(); }
-  EndpointList endpoint_list() const;                 // as it was had last
-  std::int64_t list_index() const { return index_; }  // of the list
-  // Its part of each endpoint, by who is there: its place among so many.
-  void set_endpoint_shares(std::map<std::string, double, std::less<>> parts, int place, int sidecars);
-  std::size_t avoided_endpoint_count() const;            // of those
-  bool knows_endpoint(std::string_view endpoint) const;  // it is listed, or was lately
-  // Nothing new to it, whatever the list says, until it is used again. out_since: when that was ordered.
+  EndpointList endpoint_list() const;  // the endpoints listed now, as one snapshot
+  std::int64_t list_index() const { return list_index_; }
+  // Sets this instance's share of each endpoint, and its position among all instances.
+  void set_endpoint_shares(std::map<std::string, double, std::less<>> shares, int instance_index,
+                           int instance_count);
+  // Listed endpoints that get no attempts.
+  std::size_t avoided_endpoint_count() const;
+  bool knows_endpoint(std::string_view endpoint) const;  // it is listed or was so recently
+  // Sends the endpoint no more attempts, whatever discovery lists, until include_endpoint is called.
   void exclude_endpoint(std::string_view endpoint);
-  void include_endpoint(std::string_view endpoint, double out_since);
-  // A request that ended at the listener for what was wrong with it, before any decision.
+  void include_endpoint(std::string_view endpoint, double excluded_at);
+  // Counts a request that was refused as invalid before it was forwarded.
   void record_invalid_request(const RequestClass& request_class) {
     counters_.record_outcome(index_of(request_class), RequestOutcome::Failed);
   }
 
-  bool has_pending_request(std::string_view id) const {
-    return requests_.open(id);
-  }  // a request with its client's id is in hand
-  // prefix: of this forwarder's deployment. time_left: seconds that its client still waits.
+  // Whether a request with this client-assigned id is pending.
+  bool has_pending_request(std::string_view client_id) const { return requests_.has_client_id(client_id); }
+  // remaining_time_s: for how long the client still waits.
   void forward(DownstreamConnection& downstream, HttpMessage message, const RequestClass& request_class,
-               double time_left);
+               double remaining_time_s);
 
-  void on_endpoint_list(const EndpointList& notified) override;
+  void on_endpoint_list(const EndpointList& list) override;
 
  private:
+  struct ListedEndpoint : ListEntry {
+    std::string address;
+  };
+  struct Successor {
+    RequestForwarder* forwarder;
+    std::weak_ptr<int> alive;
+  };
+
+  // Host, called by the policy.
   void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
   void cancel_attempt(RequestId request, int number) override;
-  void reject_request(RequestId request, double wait) override;
+  void reject_request(RequestId request, double retry_after_s) override;
   void fail_request(RequestId request) override;
-  void schedule_timer(double at, std::uint64_t token) override;
-  bool client_left(RequestId request);
-  double time_to_tell(const PendingRequest& request, const PendingAttempt& attempt) const;
-  void not_sent(RequestId request, int number);
-  void poll_endpoint_list() override {}  // the watch always stands
+  void schedule_timer(double due_at, std::uint64_t token) override;
+  void poll_endpoint_list() override {}  // the discovery watch never stops
   void log(std::string_view text) override;
 
+  // DownstreamConnection::RequestOwner
   void on_client_left(RequestId request) override;
-  BufferChain on_ready(UpstreamConnection& upstream) override;
   void on_part(RequestId request, BufferChain bytes, bool whole) override;
   void on_drained(RequestId request) override;
-  BufferChain on_next(UpstreamConnection& upstream, bool& whole) override;
-  void on_begun(UpstreamConnection& upstream, HttpMessage answer, std::optional<std::size_t> size) override;
-  void look_at_relay(RequestId id);
-  void on_more(UpstreamConnection& upstream, BufferChain bytes) override;
-  void on_finished(UpstreamConnection& upstream, BufferChain bytes) override;
-  void on_cut(UpstreamConnection& upstream) override;
-  void on_sent() override { counters_.record_attempt(); }
-  Outcome outcome_of(const HttpMessage& answer) const override;
-  void on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage answer) override;
-  void on_risen(UpstreamConnection& upstream) override;
-  void on_idle_end(UpstreamConnection& upstream) override;
-  double oldest_idle() const override { return rising_.empty() ? idle_.oldest_idle_since() : 0; }
+
+  // UpstreamConnection::Owner
+  BufferChain on_ready_to_send(UpstreamConnection& upstream) override;
+  BufferChain on_body_wanted(UpstreamConnection& upstream, bool& complete) override;
+  void on_response_started(UpstreamConnection& upstream, HttpMessage response,
+                           std::optional<std::size_t> length) override;
+  void on_response_part(UpstreamConnection& upstream, BufferChain bytes) override;
+  void on_response_finished(UpstreamConnection& upstream, BufferChain bytes) override;
+  void on_response_aborted(UpstreamConnection& upstream) override;
+  void on_request_sent() override { counters_.record_attempt(); }
+  Outcome outcome_of(const HttpMessage& response) const override;
+  void on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage response) override;
+  void on_spare_connected(UpstreamConnection& upstream) override;
+  void on_unused_closed(UpstreamConnection& upstream) override;
+
+  // ConnectionLimiter::ReclaimableConnections. Spares are reclaimed before idle connections.
+  double oldest_idle() const override { return spares_.empty() ? idle_.oldest_idle_since() : 0; }
   void drop_oldest_idle() override;
 
-  void pass_on(std::unique_ptr<UpstreamConnection> idle, double since);
-  std::unique_ptr<UpstreamConnection> take_kept(UpstreamConnection::AttemptId attempt,
-                                                const std::string& endpoint);
+  // Requests
+  bool client_may_have_left(RequestId id);
+  double time_left_to_send(const PendingRequest& request, const PendingAttempt& attempt) const;
   void conclude(RequestId id, int status, const HttpMessage* from, std::string_view more_headers,
                 std::string_view text);
-  DownstreamConnection* end_relay(RequestId id, RequestOutcome how);
+  void check_relay(RequestId id);
+  DownstreamConnection* end_relay(RequestId id, RequestOutcome outcome);
+  void on_upload_deadline(RequestId id);
+
+  // Attempts. Both report functions tell the policy, the second one on the next turn of the loop.
+  void end_unsent_attempt(RequestId id, int number);
+  void on_attempt_deadline(RequestId id, int number);
+  void report_attempt_end(RequestId id, int number, Outcome outcome, HttpMessage* response);
+  void report_attempt_end_soon(RequestId id, int number, Outcome outcome);
+
+  // Connections
+  std::optional<Outcome> send_attempt(UpstreamConnection::AttemptId attempt,
+                                      const std::string& endpoint);  // returns why it could not
+  std::unique_ptr<UpstreamConnection> open_connection(const std::string& endpoint);
+  std::unique_ptr<UpstreamConnection> take_reusable(UpstreamConnection::AttemptId attempt,
+                                                    const std::string& endpoint);
+  void open_spare(UpstreamConnection::AttemptId attempt);
+  std::unique_ptr<UpstreamConnection> take_busy(const UpstreamConnection& upstream);
+  std::unique_ptr<UpstreamConnection> take_spare(const UpstreamConnection& upstream);
   void keep_or_close(std::unique_ptr<UpstreamConnection> upstream);
-  std::unique_ptr<UpstreamConnection> no_longer_busy(const UpstreamConnection& upstream);
-  void out_of_patience(RequestId id);
-  void ended(RequestId id, int number, Outcome outcome, HttpMessage* answer);
-  void end_soon(RequestId id, int number, Outcome outcome);
-  void out_of_time(RequestId id, int number);
-  std::optional<Outcome> start(UpstreamConnection::AttemptId attempt,
-                               const std::string& endpoint);  // why it could not
-  std::unique_ptr<UpstreamConnection> open(const std::string& endpoint);
-  void help(UpstreamConnection::AttemptId attempt);
-  std::unique_ptr<UpstreamConnection> no_longer_rising(const UpstreamConnection& upstream);
-  void drop_connections(const std::string& endpoint);
-  void drop_rising(const std::string& endpoint);
-  UpstreamConnection::AttemptId let_go(UpstreamConnection& upstream);
-  void note_entries(const EndpointList& list, ListScope scope);
-  EndpointList news(const EndpointList& list) const;
-  void add_left_out(const EndpointList& whole, EndpointList& changes) const;
+  void hand_to_successor(std::unique_ptr<UpstreamConnection> idle, double idle_since);
+  void close_connections(const std::string& endpoint);
+  void close_spares(const std::string& endpoint);
+  UpstreamConnection::AttemptId detach_and_close(UpstreamConnection& upstream);
+  void close_expired_idle();
+
+  // Endpoints
+  void apply_list(const EndpointList& list, ListScope scope);
+  EndpointList changes_in(const EndpointList& list) const;
+  void add_missing_as_removed(const EndpointList& snapshot, EndpointList& changes) const;
   double latest_start(const ListEntry& entry) const;
-  bool same_as_known(const ListEntry& entry, const std::string& address) const;
-  struct ListedEndpoint : ListEntry {
-    std::string address;
-  };
-  void note_listed(const ListEntry& entry, const std::string& address);
-  void note_address(const ListedEndpoint& notified);
-  void place(const ListedEndpoint& notified);
-  void place_the_unplaced();
-  void notify(const ListEntry& entry);
+  bool is_unchanged(const ListEntry& entry, const std::string& address) const;
+  void update_listed(const ListEntry& entry, const std::string& address);
+  void remove_listed(const std::string& endpoint);
+  void claim_address(const ListedEndpoint& listed);
+  void set_address(const ListedEndpoint& listed);
+  void retry_missing_addresses();
+  void notify_policy(const ListEntry& entry);
   ListEntry as_notified(ListEntry entry) const;
-  void note_gone(const std::string& endpoint);
-  void sweep();
 
   Loop& loop_;
   ConnectionLimiter& limiter_;
   const Deployment deployment_;
   const ForwarderOptions options_;
-  struct Successor {
-    RequestForwarder* forwarder;
-    std::weak_ptr<int> alive;
-  };
-  std::optional<double> gone_, retired_;
+  std::optional<double> shutdown_deadline_, retired_at_;
   std::vector<Successor> successors_;
   std::size_t next_successor_ = 0;
-  double last_request_ = 0;
+  double last_request_at_ = 0;
   EndpointAddresses addresses_;
-  std::map<std::string, ListedEndpoint, std::less<>> listed_;  // as discovery says
-  std::set<std::string> unplaced_;                    // of those, with no address or one that is another's
-  std::set<std::string, std::less<>> out_;            // by order
-  std::map<std::string, double, std::less<>> parts_;  // none: the module deals by the numbers given
-  std::deque<std::string> lately_;                    // listed no more
-  std::int64_t index_ = 0;                            // of the list
+  std::map<std::string, ListedEndpoint, std::less<>> listed_;  // as discovery lists them
+  std::set<std::string> without_address_;  // listed, but with no address or with one that another one holds
+  std::set<std::string, std::less<>> excluded_;  // by operators
+  // This instance's share of each endpoint. Empty: the policy works it out from the deployment's instance
+  // index and count.
+  std::map<std::string, double, std::less<>> shares_;
+  std::deque<std::string> recently_removed_;  // endpoints that are no longer listed
+  std::int64_t list_index_ = 0;
   RequestCounters counters_;
   PendingRequests requests_;
   IdleConnections<UpstreamConnection> idle_;
-  std::map<std::string, std::vector<std::unique_ptr<UpstreamConnection>>> rising_;  // by endpoint; none empty
-  IdleReuseHistory kept_uses_;
-  std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>> busy_;
+  // Connections being established without an attempt, by endpoint. No list is empty.
+  std::map<std::string, std::vector<std::unique_ptr<UpstreamConnection>>> spares_;
+  IdleReuseHistory idle_reuse_;
+  std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>>
+      busy_;  // with an attempt
   Alive alive_;
   std::unique_ptr<Policy> policy_;
 };
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -8,207 +8,237 @@
 namespace puffinvane {
 
 namespace {
-// Seconds without a byte in the middle of an answer: an endpoint writes it when its work is done, so what has
-// begun and stops is lost, and the request has better uses for its time than to wait for its client timeout.
-constexpr double kStopped = 0.3;
-// The same in an answer that is passed on already: nothing better can be done with it.
-constexpr double kCutOff = 5;
-// Seconds for which want of something on this machine is waited out before the request goes elsewhere, and
-// between two tries; each that fails doubles it.
-constexpr double kWantPatience = 0.05, kFirstTry = 0.002;
-constexpr double kLongInComing =
-    0.15;  // an answer without a length goes on from here: it may be a slow long one
+// Seconds without a byte in the middle of a response. An endpoint writes its response once its work is done,
+// so one that stalls is lost, and the time until the client timeout is better spent on another attempt.
+constexpr double kStallTimeout = 0.3;
+// Seconds without a byte of a response that is being relayed already: another attempt can't replace it.
+constexpr double kRelayStallTimeout = 5;
+// Seconds for which a connection that this machine lacks a resource for is retried, before the request is
+// tried elsewhere; and the first pause between two tries, which doubles each time.
+constexpr double kLocalRetryPeriod = 0.05;
+constexpr double kFirstRetryPause = 0.002;
+// Seconds after which a response without a declared length is relayed: it may be a long one that arrives
+// slowly.
+constexpr double kMaxBufferingTime = 0.15;
 }  // namespace
 
-// An answer may come before the request is written whole: it counts, but what is left of the request can't
-// be taken back, so that connection carries nothing more.
+// A response may arrive before the request is written whole. It counts, but the rest of the request can't be
+// taken back, so the connection is closed.
 const Transition<UpstreamConnection, UpstreamConnection::State, UpstreamConnection::Input>
-    UpstreamConnection::kRows[] = {
-        {State::Connecting, Input::Connected, State::Sending, &UpstreamConnection::write},
-        {State::Connecting, Input::ConnectedLate, State::Over, &UpstreamConnection::report_not_sent},
-        {State::Connecting, Input::LocalWant, State::Over, &UpstreamConnection::report_not_sent},
-        {State::Connecting, Input::Ended, State::Over, &UpstreamConnection::report_unsent},
-        {State::Connecting, Input::TimedOut, State::Rising, &UpstreamConnection::report_not_up},
-        {State::Connecting, Input::Freed, State::Rising, &UpstreamConnection::nothing},
-        {State::Rising, Input::Connected, State::Idle, &UpstreamConnection::report_risen},
-        {State::Rising, Input::ConnectedLate, State::Idle, &UpstreamConnection::report_risen},
-        {State::Rising, Input::Ended, State::Over, &UpstreamConnection::report_idle_end},
-        {State::Rising, Input::LocalWant, State::Over, &UpstreamConnection::report_idle_end},
-        {State::Rising, Input::Expired, State::Over, &UpstreamConnection::report_idle_end},
-        {State::Idle, Input::Attempt, State::Sending, &UpstreamConnection::write},
-        {State::Idle, Input::Ended, State::Over, &UpstreamConnection::report_idle_end},
-        {State::Idle, Input::Nonsense, State::Over, &UpstreamConnection::report_idle_end},
-        {State::Sending, Input::Written, State::Awaiting, &UpstreamConnection::note_sent},
-        {State::Sending, Input::Answered, State::Over, &UpstreamConnection::report_answer},
-        {State::Sending, Input::AnsweredLast, State::Over, &UpstreamConnection::report_answer},
-        {State::Sending, Input::Nonsense, State::Over, &UpstreamConnection::report_nonsense},
-        {State::Sending, Input::Ended, State::Over, &UpstreamConnection::report_unsent},
-        {State::Awaiting, Input::Answered, State::Idle, &UpstreamConnection::report_answer},
-        {State::Awaiting, Input::AnsweredLast, State::Over, &UpstreamConnection::report_answer},
-        {State::Awaiting, Input::Nonsense, State::Over, &UpstreamConnection::report_nonsense},
-        {State::Awaiting, Input::Stopped, State::Over, &UpstreamConnection::report_nonsense},
-        {State::Awaiting, Input::Ended, State::Over, &UpstreamConnection::report_reset},
-        {State::Awaiting, Input::Begun, State::Relaying, &UpstreamConnection::report_begun},
-        {State::Relaying, Input::Answered, State::Idle, &UpstreamConnection::report_finished},
-        {State::Relaying, Input::AnsweredLast, State::Over, &UpstreamConnection::report_finished},
-        {State::Relaying, Input::Nonsense, State::Over, &UpstreamConnection::report_cut},
-        {State::Relaying, Input::Stopped, State::Over, &UpstreamConnection::report_cut},
-        {State::Relaying, Input::Ended, State::Over, &UpstreamConnection::report_cut},
+    UpstreamConnection::kTransitions[] = {
+        {State::Connecting, Input::Connected, State::Sending, &UpstreamConnection::send_request},
+        {State::Connecting, Input::ConnectedLate, State::Closed, &UpstreamConnection::report_not_sent},
+        {State::Connecting, Input::LocalShortage, State::Closed, &UpstreamConnection::report_not_sent},
+        {State::Connecting, Input::ConnectionEnded, State::Closed,
+         &UpstreamConnection::report_lost_before_sent},
+        {State::Connecting, Input::ConnectTimedOut, State::ConnectingSpare,
+         &UpstreamConnection::report_connect_timeout},
+        {State::Connecting, Input::AttemptWithdrawn, State::ConnectingSpare, &UpstreamConnection::no_action},
+        {State::ConnectingSpare, Input::Connected, State::Idle, &UpstreamConnection::report_spare_connected},
+        {State::ConnectingSpare, Input::ConnectedLate, State::Idle,
+         &UpstreamConnection::report_spare_connected},
+        {State::ConnectingSpare, Input::ConnectionEnded, State::Closed,
+         &UpstreamConnection::report_unused_closed},
+        {State::ConnectingSpare, Input::LocalShortage, State::Closed,
+         &UpstreamConnection::report_unused_closed},
+        {State::ConnectingSpare, Input::SpareTimedOut, State::Closed,
+         &UpstreamConnection::report_unused_closed},
+        {State::Idle, Input::AttemptAssigned, State::Sending, &UpstreamConnection::send_request},
+        {State::Idle, Input::ConnectionEnded, State::Closed, &UpstreamConnection::report_unused_closed},
+        {State::Idle, Input::InvalidResponse, State::Closed, &UpstreamConnection::report_unused_closed},
+        {State::Sending, Input::RequestWritten, State::AwaitingResponse,
+         &UpstreamConnection::report_request_sent},
+        {State::Sending, Input::Response, State::Closed, &UpstreamConnection::report_response},
+        {State::Sending, Input::LastResponse, State::Closed, &UpstreamConnection::report_response},
+        {State::Sending, Input::InvalidResponse, State::Closed, &UpstreamConnection::report_invalid_response},
+        {State::Sending, Input::ConnectionEnded, State::Closed, &UpstreamConnection::report_lost_before_sent},
+        {State::AwaitingResponse, Input::Response, State::Idle, &UpstreamConnection::report_response},
+        {State::AwaitingResponse, Input::LastResponse, State::Closed, &UpstreamConnection::report_response},
+        {State::AwaitingResponse, Input::InvalidResponse, State::Closed,
+         &UpstreamConnection::report_invalid_response},
+        {State::AwaitingResponse, Input::ResponseStalled, State::Closed,
+         &UpstreamConnection::report_invalid_response},
+        {State::AwaitingResponse, Input::ConnectionEnded, State::Closed,
+         &UpstreamConnection::report_lost_after_sent},
+        {State::AwaitingResponse, Input::ResponseStarted, State::Relaying,
+         &UpstreamConnection::report_response_started},
+        {State::Relaying, Input::Response, State::Idle, &UpstreamConnection::report_response_finished},
+        {State::Relaying, Input::LastResponse, State::Closed, &UpstreamConnection::report_response_finished},
+        {State::Relaying, Input::InvalidResponse, State::Closed,
+         &UpstreamConnection::report_response_aborted},
+        {State::Relaying, Input::ResponseStalled, State::Closed,
+         &UpstreamConnection::report_response_aborted},
+        {State::Relaying, Input::ConnectionEnded, State::Closed,
+         &UpstreamConnection::report_response_aborted},
 };
 
-UpstreamConnection::UpstreamConnection(Loop& loop, Owner& owner, std::string endpoint, std::size_t most_body,
-                                       bool streams)
+UpstreamConnection::UpstreamConnection(Loop& loop, Owner& owner, std::string endpoint,
+                                       std::size_t max_body_bytes, bool streams_response)
     : loop_(loop),
       owner_(&owner),
       endpoint_(std::move(endpoint)),
       tcp_(loop, *this),
-      reader_(HttpReader::Side::Answer, loop.pool(), most_body, streams ? HttpReader::kMostStreamed : 0) {}
+      reader_(HttpReader::Side::Answer, loop.pool(), max_body_bytes,
+              streams_response ? HttpReader::kMostStreamed : 0) {}
 
-void UpstreamConnection::turn(Input input) { apply_transition(kRows, *this, state_, input); }
+void UpstreamConnection::handle(Input input) { apply_transition(kTransitions, *this, state_, input); }
 
-bool UpstreamConnection::connect(std::string_view address, double timeout) {
+bool UpstreamConnection::connect(std::string_view address, double timeout_s) {
   TcpConnection::ConnectStart started = tcp_.connect(address);
   if (started == TcpConnection::ConnectStart::Refused) return false;
   if (started == TcpConnection::ConnectStart::LocalWant)
-    try_later(std::string(address), kFirstTry, loop_.now() + std::min(timeout, kWantPatience));
-  timeout_ = timeout;
-  loop_.at(loop_.now() + timeout,
-           alive_.guard([this] { turn(tcp_.socket() ? Input::TimedOut : Input::LocalWant); }));
-  loop_.at(loop_.now() + std::max(timeout, kLongestRise), alive_.guard([this] { turn(Input::Expired); }));
+    retry_connect(std::string(address), kFirstRetryPause,
+                  loop_.now() + std::min(timeout_s, kLocalRetryPeriod));
+  connect_timeout_s_ = timeout_s;
+  loop_.at(loop_.now() + timeout_s,
+           alive_.guard([this] { handle(tcp_.socket() ? Input::ConnectTimedOut : Input::LocalShortage); }));
+  loop_.at(loop_.now() + std::max(timeout_s, kMaxSpareConnectTime),
+           alive_.guard([this] { handle(Input::SpareTimedOut); }));
   return true;
 }
 
-void UpstreamConnection::try_later(const std::string& address, double pause, double until) {
-  loop_.at(loop_.now() + pause, alive_.guard([=, this] {
-    if (state_ != State::Connecting && state_ != State::Rising) return;
+void UpstreamConnection::retry_connect(const std::string& address, double pause_s, double retry_until) {
+  loop_.at(loop_.now() + pause_s, alive_.guard([=, this] {
+    if (state_ != State::Connecting && state_ != State::ConnectingSpare) return;
     TcpConnection::ConnectStart started = tcp_.connect(address);
-    if (started == TcpConnection::ConnectStart::Refused) return turn(Input::Ended);
+    if (started == TcpConnection::ConnectStart::Refused) return handle(Input::ConnectionEnded);
     if (started != TcpConnection::ConnectStart::LocalWant) return;
-    if (loop_.now() >= until) return turn(Input::LocalWant);
-    try_later(address, 2 * pause, until);
+    if (loop_.now() >= retry_until) return handle(Input::LocalShortage);
+    retry_connect(address, 2 * pause_s, retry_until);
   }));
 }
 
-void UpstreamConnection::carry(AttemptId attempt, bool head) {
+void UpstreamConnection::assign_attempt(AttemptId attempt, bool is_head) {
   attempt_id_ = attempt;
-  reader_.expect_no_body(head);
-  kept_ = state_ == State::Idle;
-  answering_ = false, sent_ = loop_.now();
-  turn(Input::Attempt);
+  reader_.expect_no_body(is_head);
+  reused_ = state_ == State::Idle;
+  response_started_ = false;
+  assigned_at_ = loop_.now();
+  handle(Input::AttemptAssigned);
 }
 
-// After a stall its coming up and the end of its time are found at once. What was decided that long ago may
-// be against the list, a keyed request's window or its client by now: it is decided anew.
+// After a stall of this process the loop may find the connection established only once its timeout is due
+// too. By then the endpoint may be draining, a Keyed request's idempotency window over or the client gone, so
+// the attempt is reported as not sent and the policy decides again.
 void UpstreamConnection::on_connected() {
-  turn(loop_.now() - sent_ > timeout_ ? Input::ConnectedLate : Input::Connected);
+  handle(loop_.now() - assigned_at_ > connect_timeout_s_ ? Input::ConnectedLate : Input::Connected);
 }
 
-void UpstreamConnection::write() {
-  BufferChain request = owner_->on_ready(*this);
+void UpstreamConnection::send_request() {
+  BufferChain request = owner_->on_ready_to_send(*this);
   if (request.empty()) return;
   tcp_.send(std::move(request));
-  push();
+  send_more_body();
 }
 
-void UpstreamConnection::push() {
+void UpstreamConnection::send_more_body() {
   while (state_ == State::Sending && tcp_.written()) {
-    bool whole = false;
-    BufferChain next = owner_->on_next(*this, whole);
-    if (next.empty()) return whole ? turn(Input::Written) : void();
+    bool complete = false;
+    BufferChain next = owner_->on_body_wanted(*this, complete);
+    if (next.empty()) return complete ? handle(Input::RequestWritten) : void();
     tcp_.send(std::move(next));
   }
 }
 
-bool UpstreamConnection::too_long_to_hold() const {
+// Whether the response, of which a part has arrived, is or may become too long to be buffered whole.
+bool UpstreamConnection::must_relay_response() const {
   if (!reader_.streams() || !reader_.in_body()) return false;
   if (reader_.declared()) return *reader_.declared() > HttpReader::kMostBody;
-  return reader_.body_so_far() > HttpReader::kMostBody || loop_.now() - answered_since_ > kLongInComing;
+  return reader_.body_so_far() > HttpReader::kMostBody ||
+         loop_.now() - response_started_at_ > kMaxBufferingTime;
 }
 
 void UpstreamConnection::on_received(std::string_view bytes) {
-  if (state_ == State::Idle) return turn(Input::Nonsense);  // nobody asked
-  heard_ = loop_.now();
-  bool first = !std::exchange(answering_, true);
-  if (first) answered_since_ = heard_;
+  if (state_ == State::Idle) return handle(Input::InvalidResponse);  // there is no request to respond to
+  last_byte_at_ = loop_.now();
+  bool first = !std::exchange(response_started_, true);
+  if (first) response_started_at_ = last_byte_at_;
   std::size_t used = reader_.feed(bytes);
-  if (reader_.fault() != HttpReader::Fault::None) return turn(Input::Nonsense);
+  if (reader_.fault() != HttpReader::Fault::None) return handle(Input::InvalidResponse);
   if (!reader_.whole()) {
-    if (first) watch_answer(sent_);  // most come whole at once, and need no watching
+    if (first) watch_response(assigned_at_);  // most responses arrive whole at once and need no timer
     if (state_ == State::Relaying) {
-      if (BufferChain part = reader_.take_part(); !part.empty()) owner_->on_more(*this, std::move(part));
-    } else if (too_long_to_hold()) {
-      // Before the request is written whole that is no answer to it. What it says then is not worth holding.
-      if (state_ == State::Sending) return turn(Input::Nonsense);
-      owner_->outcome_of(reader_.message()) == Outcome::Delivered ? turn(Input::Begun)
-                                                                  : turn(Input::Nonsense);
+      if (BufferChain part = reader_.take_part(); !part.empty())
+        owner_->on_response_part(*this, std::move(part));
+    } else if (must_relay_response()) {
+      // A long response is not relayed while the request is still being written, nor one that reports an
+      // error: the attempt fails instead.
+      if (state_ == State::Sending) return handle(Input::InvalidResponse);
+      owner_->outcome_of(reader_.message()) == Outcome::Delivered ? handle(Input::ResponseStarted)
+                                                                  : handle(Input::InvalidResponse);
     }
     return;
   }
   bool last = !reader_.message().keep_alive || used < bytes.size();
-  turn(last ? Input::AnsweredLast : Input::Answered);
-}
-
-void UpstreamConnection::watch_answer(double of) {
-  loop_.at(std::max(heard_ + kStopped / 2, loop_.now() + kStopped / 2), alive_.guard([this, of] {
-    if (state_ == State::Idle || sent_ != of) return;  // that one came whole
-    // Held back by its client it is not the endpoint that stopped.
-    if (!tcp_.reads()) heard_ = loop_.now();
-    if (state_ == State::Awaiting && too_long_to_hold() &&
-        owner_->outcome_of(reader_.message()) == Outcome::Delivered)
-      turn(Input::Begun);
-    loop_.now() - heard_ >= (state_ == State::Relaying ? kCutOff : kStopped) ? turn(Input::Stopped)
-                                                                             : watch_answer(of);
-  }));
+  handle(last ? Input::LastResponse : Input::Response);
+}
+
+// Checks regularly whether the response to the attempt that was assigned at `assigned_at` has stalled or has
+// to be relayed.
+void UpstreamConnection::watch_response(double assigned_at) {
+  loop_.at(std::max(last_byte_at_ + kStallTimeout / 2, loop_.now() + kStallTimeout / 2),
+           alive_.guard([this, assigned_at] {
+             if (state_ == State::Idle || assigned_at_ != assigned_at) return;  // that response is complete
+             // While reading is paused for a slow client, silence is not the endpoint's fault.
+             if (!tcp_.reads()) last_byte_at_ = loop_.now();
+             if (state_ == State::AwaitingResponse && must_relay_response() &&
+                 owner_->outcome_of(reader_.message()) == Outcome::Delivered)
+               handle(Input::ResponseStarted);
+             const double timeout_s = state_ == State::Relaying ? kRelayStallTimeout : kStallTimeout;
+             loop_.now() - last_byte_at_ >= timeout_s ? handle(Input::ResponseStalled)
+                                                      : watch_response(assigned_at);
+           }));
 }
 
 void UpstreamConnection::on_ended(TcpConnection::End end) {
-  // An answer that says no length ends with its connection; a reset is no end, and what has come is a part.
+  // A response without a declared length ends with its connection; after a reset it is incomplete.
   if (end == TcpConnection::End::Closed) reader_.end();
-  if (end == TcpConnection::End::LocalWant) return turn(Input::LocalWant);
-  turn(reader_.whole() ? Input::AnsweredLast : Input::Ended);
+  if (end == TcpConnection::End::LocalWant) return handle(Input::LocalShortage);
+  handle(reader_.whole() ? Input::LastResponse : Input::ConnectionEnded);
 }
 
-void UpstreamConnection::report_answer() {
+void UpstreamConnection::report_response() {
   Outcome outcome = owner_->outcome_of(reader_.message());
-  if (state_ == State::Over) tcp_.close();
+  if (state_ == State::Closed) tcp_.close();
   idle_since_ = loop_.now();
   owner_->on_attempt_ended(*this, outcome, reader_.take());
 }
-void UpstreamConnection::report_begun() {
-  std::optional<std::size_t> size = reader_.declared();
-  owner_->on_begun(*this, reader_.take_begun(), size);
+void UpstreamConnection::report_response_started() {
+  std::optional<std::size_t> length = reader_.declared();
+  owner_->on_response_started(*this, reader_.take_begun(), length);
 }
-void UpstreamConnection::report_finished() {
-  if (state_ == State::Over) tcp_.close();
+void UpstreamConnection::report_response_finished() {
+  if (state_ == State::Closed) tcp_.close();
   idle_since_ = loop_.now();
   BufferChain rest = reader_.take_part();
   reader_.take();
-  owner_->on_finished(*this, std::move(rest));
+  owner_->on_response_finished(*this, std::move(rest));
 }
-void UpstreamConnection::report_cut() {
+void UpstreamConnection::report_response_aborted() {
   tcp_.close();
-  owner_->on_cut(*this);
+  owner_->on_response_aborted(*this);
 }
-void UpstreamConnection::report_nonsense() { report(Outcome::Failed); }
-void UpstreamConnection::report_unsent() { report(outcome_of_break(false)); }
-void UpstreamConnection::report_reset() {
-  // Sooner than a connection may take to come up, on one that was kept: it was dropped while it stood idle.
-  bool dropped = kept_ && !answering_ && loop_.now() - sent_ < timeout_;
-  report(dropped ? Outcome::Stale : outcome_of_break(true));
+void UpstreamConnection::report_invalid_response() { close_and_report(Outcome::Failed); }
+void UpstreamConnection::report_lost_before_sent() { close_and_report(outcome_of_break(false)); }
+void UpstreamConnection::report_lost_after_sent() {
+  // A reused connection that breaks this soon and without a byte of the response was dropped while idle.
+  bool was_stale = reused_ && !response_started_ && loop_.now() - assigned_at_ < connect_timeout_s_;
+  close_and_report(was_stale ? Outcome::Stale : outcome_of_break(true));
 }
-void UpstreamConnection::report_not_up() {
+// The attempt ends here; the connection goes on connecting as a spare.
+void UpstreamConnection::report_connect_timeout() {
   owner_->on_attempt_ended(*this, outcome_of_break(false), HttpMessage(loop_.pool()));
 }
-void UpstreamConnection::report_risen() {
+void UpstreamConnection::report_spare_connected() {
   idle_since_ = loop_.now();
-  owner_->on_risen(*this);
+  owner_->on_spare_connected(*this);
 }
-void UpstreamConnection::report_idle_end() {
+void UpstreamConnection::report_unused_closed() {
   tcp_.close();
-  owner_->on_idle_end(*this);
+  owner_->on_unused_closed(*this);
 }
 
-void UpstreamConnection::report(Outcome outcome) {
+void UpstreamConnection::close_and_report(Outcome outcome) {
   tcp_.close();
   owner_->on_attempt_ended(*this, outcome, HttpMessage(loop_.pool()));
 }
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -1,4 +1,4 @@
-// A connection to an endpoint. It carries one attempt at a time and is used again.
+// A connection to an endpoint. It carries one attempt at a time and is reused for later ones.
 #pragma once
 
 #include <optional>
@@ -20,98 +20,117 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Called when the connection is up: what to write, with the time that is left by then.
-    // Nothing: nobody waits for its answer any more, and it is given up soon.
-    virtual BufferChain on_ready(UpstreamConnection& upstream) = 0;
-    // What comes next of a request's body, once all before is written; `whole`: after it there is no more.
-    virtual BufferChain on_next(UpstreamConnection& upstream, bool& whole) = 0;
-    // An answer too long to be held: its head with what there is of its body, and then the rest, part by
-    // part.
-    virtual void on_begun(UpstreamConnection& upstream, HttpMessage answer,
-                          std::optional<std::size_t> size) = 0;
-    virtual void on_more(UpstreamConnection& upstream, BufferChain bytes) = 0;
-    virtual void on_finished(UpstreamConnection& upstream, BufferChain bytes) = 0;
-    virtual void on_cut(UpstreamConnection& upstream) = 0;
-    virtual void on_sent() = 0;  // a request's last byte was written
-    virtual Outcome outcome_of(const HttpMessage& answer) const = 0;
-    virtual void on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage answer) = 0;
-    virtual void on_risen(UpstreamConnection& upstream) = 0;     // up, with nothing to carry
-    virtual void on_idle_end(UpstreamConnection& upstream) = 0;  // while it carries nothing
+    // Called once the connection is established. Returns the bytes to send first, which state the time that
+    // remains now. Empty: nobody waits for the response any more, and the owner soon closes the connection.
+    virtual BufferChain on_ready_to_send(UpstreamConnection& upstream) = 0;
+    // Called once everything sent so far is written. Returns the next part of the request's body; empty with
+    // `complete` set: the request is complete; empty without: call send_more_body once there is more.
+    virtual BufferChain on_body_wanted(UpstreamConnection& upstream, bool& complete) = 0;
+    // A response that is relayed while it arrives: its head with the part of its body that is there, then
+    // each further part, then the last part, or the news that the rest never arrives.
+    virtual void on_response_started(UpstreamConnection& upstream, HttpMessage response,
+                                     std::optional<std::size_t> length) = 0;
+    virtual void on_response_part(UpstreamConnection& upstream, BufferChain bytes) = 0;
+    virtual void on_response_finished(UpstreamConnection& upstream, BufferChain bytes) = 0;
+    virtual void on_response_aborted(UpstreamConnection& upstream) = 0;
+    virtual void on_request_sent() = 0;  // the last byte of a request was written
+    virtual Outcome outcome_of(const HttpMessage& response) const = 0;
+    virtual void on_attempt_ended(UpstreamConnection& upstream, Outcome outcome, HttpMessage response) = 0;
+    virtual void on_spare_connected(UpstreamConnection& upstream) = 0;  // established, without an attempt
+    virtual void on_unused_closed(UpstreamConnection& upstream) = 0;    // closed while it had no attempt
   };
 
-  UpstreamConnection(Loop& loop, Owner& owner, std::string endpoint, std::size_t most_body, bool streams);
-  // False: it can't even begin. Want of something on this machine is waited out for a while.
-  bool connect(std::string_view address, double timeout);
-  void carry(AttemptId attempt, bool head);  // once up, or at once on an idle connection
-  void rise() { turn(Input::Freed); }        // goes on coming up, with nothing to carry
-  void push();                               // more of the request's body has come
-  void hold_back(bool on) { tcp_.read(!on), heard_ = loop_.now(); }  // of its answer
-  void give_up() { tcp_.close(), state_ = State::Over; }
-  void pass_to(Owner& owner) { owner_ = &owner; }  // only while idle
-  void stop() { turn(Input::Stopped); }            // its answer has stopped amid its bytes
-  double silent() const { return tcp_.reads() ? loop_.now() - heard_ : 0; }
-  bool is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }  // its answer, so far
-  // Its answer has gone on for a while, and by less than that many bytes a second.
-  bool crawls(double least) const {
-    double since = loop_.now() - answered_since_;
-    return since > kWhile && double(reader_.body_so_far()) < least * since;
+  // streams_response: a body over max_body_bytes is relayed in parts instead of being refused.
+  UpstreamConnection(Loop& loop, Owner& owner, std::string endpoint, std::size_t max_body_bytes,
+                     bool streams_response);
+  // Returns false if the connection can't be started. If this machine lacks a resource for it (a descriptor,
+  // a port, memory), starting is retried for a short while.
+  bool connect(std::string_view address, double timeout_s);
+  // The attempt is sent once the connection is established, at once if it is idle. is_head: the request is a
+  // HEAD, whose response has no body.
+  void assign_attempt(AttemptId attempt, bool is_head);
+  // Goes on connecting without an attempt, to be used by a later one.
+  void become_spare() { handle(Input::AttemptWithdrawn); }
+  void send_more_body();  // more of the request's body has arrived from the client
+  void pause_reading(bool paused) {
+    tcp_.read(!paused);
+    last_byte_at_ = loop_.now();
+  }
+  void close() {
+    tcp_.close();
+    state_ = State::Closed;
+  }
+  void set_owner(Owner& owner) { owner_ = &owner; }  // only while idle
+  void abort_response() { handle(Input::ResponseStalled); }
+  // For how long no byte of the response has arrived; 0 while reading is paused.
+  double silent_for() const { return tcp_.reads() ? loop_.now() - last_byte_at_ : 0; }
+  // More of the response's body has arrived than is ever buffered whole.
+  bool response_is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }
+  // On average since its first byte the response has arrived more slowly than that. False within the first
+  // kMinRatePeriod.
+  bool response_slower_than(double bytes_per_s) const {
+    double elapsed = loop_.now() - response_started_at_;
+    return elapsed > kMinRatePeriod && double(reader_.body_so_far()) < bytes_per_s * elapsed;
   }
   bool idle() const { return state_ == State::Idle; }
-  bool connecting() const { return state_ == State::Connecting; }
-  bool rising() const { return state_ == State::Rising; }
+  bool connecting() const { return state_ == State::Connecting; }  // for an attempt
+  bool connecting_as_spare() const { return state_ == State::ConnectingSpare; }
+  // Neither unread bytes nor an unread end of the connection have arrived.
   bool quiet() const { return tcp_.quiet(); }
-  // What it is to send was not all taken, for want of something on this machine.
-  bool held_up() const {
+  // The attempt is not sent yet because this machine lacks a resource, such as descriptors or socket memory.
+  bool blocked_locally() const {
     return (connecting() && !tcp_.socket()) || (state_ == State::Sending && tcp_.held_up());
   }
   const AttemptId& attempt_id() const { return attempt_id_; }
   const std::string& endpoint() const { return endpoint_; }
-  double stood_idle(double now) const { return now - idle_since_; }
+  double idle_for(double now) const { return now - idle_since_; }
 
  private:
-  static constexpr double kWhile = 0.3;      // seconds: one that has only begun says nothing of its pace
-  static constexpr double kLongestRise = 2;  // seconds: the system's own second and third try are within
-  enum class State { Connecting, Rising, Idle, Sending, Awaiting, Relaying, Over };
+  // Seconds. The rate of a response that has only begun says nothing.
+  static constexpr double kMinRatePeriod = 0.3;
+  // Seconds. Long enough for the second and third connection request (SYN) of the operating system.
+  static constexpr double kMaxSpareConnectTime = 2;
+  enum class State { Connecting, ConnectingSpare, Idle, Sending, AwaitingResponse, Relaying, Closed };
   enum class Input {
     Connected,
-    ConnectedLate,
-    Attempt,
-    Written,
-    Answered,
-    AnsweredLast,
-    Begun,
-    Nonsense,
-    Stopped,
-    Ended,
-    LocalWant,
-    TimedOut,
-    Freed,
-    Expired
+    ConnectedLate,  // after the connect timeout
+    AttemptAssigned,
+    RequestWritten,
+    Response,         // complete, and the connection can be reused
+    LastResponse,     // complete, and the connection can't be reused
+    ResponseStarted,  // to be relayed while it arrives
+    InvalidResponse,  // malformed, too large, without a request, or a long one that must not be relayed
+    ResponseStalled,
+    ConnectionEnded,
+    LocalShortage,  // this machine lacks a resource
+    ConnectTimedOut,
+    AttemptWithdrawn,  // it is sent on another connection
+    SpareTimedOut
   };
-  static const Transition<UpstreamConnection, State, Input> kRows[];
-  void turn(Input input);
-  void write();
-  void note_sent() { owner_->on_sent(); }
-  void report_answer();
-  void report_begun();
-  void report_finished();
-  void report_cut();
-  bool too_long_to_hold() const;
-  void report_nonsense();
-  void report_unsent();
-  void report_not_up();
-  void report_risen();
-  void nothing() {}
-  void report_not_sent() { report(Outcome::NotSent); }
-  void try_later(const std::string& address, double pause, double until);
-  void report_reset();
-  void report_idle_end();
-  void report(Outcome outcome);
-  void watch_answer(double of);
+  static const Transition<UpstreamConnection, State, Input> kTransitions[];
+  void handle(Input input);
+  void send_request();
+  void report_request_sent() { owner_->on_request_sent(); }
+  void report_response();
+  void report_response_started();
+  void report_response_finished();
+  void report_response_aborted();
+  bool must_relay_response() const;
+  void report_invalid_response();
+  void report_lost_before_sent();
+  void report_connect_timeout();
+  void report_spare_connected();
+  void no_action() {}
+  void report_not_sent() { close_and_report(Outcome::NotSent); }
+  void retry_connect(const std::string& address, double pause_s, double retry_until);
+  void report_lost_after_sent();
+  void report_unused_closed();
+  void close_and_report(Outcome outcome);
+  void watch_response(double assigned_at);
 
   void on_connected() override;
   void on_received(std::string_view bytes) override;
-  void on_written() override { push(); }
+  void on_written() override { send_more_body(); }
   void on_ended(TcpConnection::End end) override;
 
   Loop& loop_;
@@ -121,8 +140,13 @@
   HttpReader reader_;
   State state_ = State::Connecting;
   AttemptId attempt_id_;
-  double timeout_ = 0, sent_ = 0, heard_ = 0, answered_since_ = 0, idle_since_ = 0;
-  bool kept_ = false, answering_ = false;  // kept: it has carried an attempt before this one
+  double connect_timeout_s_ = 0;
+  double assigned_at_ = 0;          // when it got its current attempt
+  double last_byte_at_ = 0;         // of the response; also when reading was last paused or resumed
+  double response_started_at_ = 0;  // when the first byte of the response arrived
+  double idle_since_ = 0;
+  bool reused_ = false;            // it was established before it got its current attempt
+  bool response_started_ = false;  // a byte of the response to the current attempt has arrived
   Alive alive_;
 };
 
