--- a/src/proxy/pending_requests.h
+++ b/src/proxy/pending_requests.h
@@ -27,9 +27,11 @@
   double deadline = 0;
   UpstreamConnection* upstream = nullptr;  // null once it has ended, even if the policy is not told yet
   bool reported = false;                   // the policy was told of its end
-  std::size_t body_bytes_sent = 0;  // for a streamed body only 1 once its last chunk is written, else 0
-  std::optional<double> reused_after_idle_s =
-      {};  // set if it reuses an idle connection: how long that was idle
+  // Of a body that is held whole. For one that is forwarded in chunks while it arrives: 1 once the last chunk
+  // was passed to the connection, else 0.
+  std::size_t body_bytes_sent = 0;
+  // If it reuses an idle connection: for how long that had been idle.
+  std::optional<double> reused_after_idle_s = {};
 };
 
 struct PendingRequest {
@@ -38,19 +40,21 @@
   DownstreamConnection* downstream = nullptr;  // null once it is answered or its client has left
   UpstreamConnection* relay = nullptr;         // the connection whose response is being relayed to the client
   const RequestClass* request_class = nullptr;
-  std::optional<HttpMessage> error_response =
-      {};  // the last one from an endpoint, sent if every attempt fails
+  // The last error response of an endpoint, which the client gets if no attempt succeeds.
+  std::optional<HttpMessage> error_response = {};
   std::vector<PendingAttempt> attempts = {};
   // Of a body that is forwarded while it arrives:
   bool streams_body = false;
   bool body_incomplete = false;  // more of it is to arrive
   bool body_consumed = false;    // some was sent and released, so the request can't be sent again
-  std::optional<std::size_t> body_length = {};  // as declared by the client
-  double remaining_time_s = 0;  // of its client, counted from the arrival of the last byte of the request
+  std::optional<std::size_t> body_length = {};  // as declared by the client; empty if it comes in chunks
+  // Until the client timeout, counted from the arrival of the last byte of the request.
+  double remaining_time_s = 0;
 
   // Its response has been sent or is being relayed, or its client has left.
   bool concluded() const { return !downstream || relay; }
-  bool released_by_client() const { return !downstream; }
+  // Its response has been sent or its client has left.
+  bool client_is_done() const { return !downstream; }
 };
 
 class PendingRequests {
@@ -69,11 +73,10 @@
     auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
-  // Removes the request once its client needs it no longer and the policy was told of the end of each
-  // attempt.
+  // Removes the request if its client is done and the policy was told of the end of each attempt.
   void remove_if_finished(RequestId id) {
     auto found = requests_.find(id);
-    if (found == requests_.end() || !found->second.released_by_client()) return;
+    if (found == requests_.end() || !found->second.client_is_done()) return;
     for (const PendingAttempt& attempt : found->second.attempts) {
       if (!attempt.reported) return;
     }
@@ -84,7 +87,7 @@
   // The requests that are neither answered nor abandoned by their clients.
   std::size_t active_count() const {
     return std::size_t(std::count_if(requests_.begin(), requests_.end(),
-                                     [](const auto& one) { return !one.second.released_by_client(); }));
+                                     [](const auto& one) { return !one.second.client_is_done(); }));
   }
 
  private:
--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -18,7 +18,7 @@
 // Share of the time after which endpoints close idle connections. They are closed here before that, so that
 // no attempt is sent while the endpoint closes.
 constexpr double kMaxIdleShare = 0.7;
-constexpr double kIdleCheckInterval = 0.25;
+constexpr double kIdleCheckInterval = 0.25;  // seconds
 // Seconds for which a connection is not reused after a response. An endpoint may send stray bytes some
 // milliseconds after its response, and they would be read as the response to the next request.
 constexpr double kReuseDelay = 0.03;
@@ -26,11 +26,12 @@
 constexpr std::size_t kMaxSparesPerEndpoint = 4;     // being established at a time
 constexpr std::size_t kMaxRecentlyRemoved = 4096;    // endpoints remembered although no longer listed
 constexpr std::size_t kBodyPartBytes = 64 * 1024;    // of a body, written at a time
-constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // of a streamed body, before it has a connection
+constexpr std::size_t kMaxUnsentBytes = 256 * 1024;  // of an upload that no connection carries yet
 constexpr double kMaxUploadTime = 1200;  // seconds: longer than any body takes at the lowest accepted rate
+// Seconds before its deadline at which an uploaded request without a response is failed.
 constexpr double kDeadlineMargin = 0.01;
-constexpr double kShortRelayStallTimeout =
-    0.2;                                    // seconds without a byte of a short response past its deadline
+// Seconds without a byte after which a short response is given up once its request's deadline has passed.
+constexpr double kShortRelayStallTimeout = 0.2;
 constexpr double kMinRelayRate = 8 * 1024;  // bytes a second: a quarter of what clients sustain
 constexpr double kNever = std::numeric_limits<double>::infinity();
 // Seconds by which an attempt is told less than the time that remains. The loop doesn't notice stalls of up
@@ -68,8 +69,8 @@
     hand_to_successor(idle_.take_oldest(since), since);
 }
 
-// Each new connection costs its endpoint a handshake, so changed settings must not close the old connections.
-// A successor gets only connections to endpoints that it knows at the same address.
+// Each new connection costs its endpoint a handshake, so a mere change of settings must not close
+// connections. A successor gets only connections to endpoints that it knows at the same address.
 void RequestForwarder::hand_to_successor(std::unique_ptr<UpstreamConnection> idle, double idle_since) {
   const std::string* address = addresses_.find(idle->endpoint());
   for (std::size_t i = 0; i < successors_.size(); ++i) {
@@ -127,7 +128,7 @@
       idle_.add(endpoint, std::move(reusable), loop_.now() - idle_s);
       return {};
     }
-    // The endpoint may have closed it, which the loop has not reported yet.
+    // The endpoint may have closed it without the loop having reported that yet.
     if (reusable->quiet()) return reusable;
     reusable->close();
     loop_.bury(std::move(reusable));
@@ -194,6 +195,7 @@
     return one.second->connecting() && one.second->endpoint() == endpoint;
   });
   if (retired_at_) return loop_.bury(std::move(spare));
+  // No response has arrived on it, so that it can be used without the delay.
   if (found == busy_.end()) return idle_.add(endpoint, std::move(spare), loop_.now() - kReuseDelay);
   std::unique_ptr<UpstreamConnection> waiting = std::move(busy_.extract(found).mapped());
   const UpstreamConnection::AttemptId attempt = waiting->attempt_id();
@@ -220,8 +222,8 @@
 
 // Whether the client has left, or this can't be told because too much unread data precedes the end of its
 // connection; nothing must be sent for it then. One turn of the loop may find responses, timers and the
-// client's end in any order, and after a stall or a wait at the listener the client may have left long ago.
-// So this is asked before each sending.
+// client's end in any order, and after a stall or a wait at the listener the client may have left long ago,
+// so this is asked before each sending. If the client has left, its connection is ended on the next turn.
 bool RequestForwarder::client_may_have_left(RequestId id) {
   DownstreamConnection* downstream = requests_.find(id)->downstream;
   if (!downstream) return false;
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -54,8 +54,8 @@
   // attempts end, to the successors in turn. Once can_be_destroyed(), nothing calls it any more.
   void retire(const std::vector<RequestForwarder*>& successors);
   bool can_be_destroyed() const;
-  // Takes over what the policy of a predecessor has learned. rate_share: the part of the predecessor's
-  // requests that will come here.
+  // Takes over what another forwarder's policy has learned. rate_share: the part of that one's requests that
+  // comes here from now on.
   void import_learned_state(const LearnedState& earlier, double rate_share) {
     policy_->import_learned_state(loop_.now(), earlier, rate_share);
   }
@@ -79,8 +79,10 @@
   bool knows_endpoint(std::string_view endpoint) const;  // it is listed or was so recently
   // Sends the endpoint no more attempts, whatever discovery lists, until include_endpoint is called.
   void exclude_endpoint(std::string_view endpoint);
+  // Undoes exclude_endpoint. Unless the endpoint is listed as started since `excluded_at`, it is taken to
+  // start now and so gets a slow start.
   void include_endpoint(std::string_view endpoint, double excluded_at);
-  // Counts a request that was refused as invalid before it was forwarded.
+  // Counts a request that was refused as invalid and so is not forwarded.
   void record_invalid_request(const RequestClass& request_class) {
     counters_.record_outcome(index_of(request_class), RequestOutcome::Failed);
   }
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -20,14 +20,16 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Called once the connection is established. Returns the bytes to send first, which state the time that
-    // remains now. Empty: nobody waits for the response any more, and the owner soon closes the connection.
+    // Called once the connection can carry its attempt. Returns the first bytes of the request, with the time
+    // that remains now in its header. Empty: nobody waits for the response any more, and the owner closes the
+    // connection soon.
     virtual BufferChain on_ready_to_send(UpstreamConnection& upstream) = 0;
-    // Called once everything sent so far is written. Returns the next part of the request's body; empty with
-    // `complete` set: the request is complete; empty without: call send_more_body once there is more.
+    // Called once all bytes sent so far are written. Returns the next part of the request's body. Empty: sets
+    // `complete` if there is no more; else the owner calls send_more_body once more has arrived.
     virtual BufferChain on_body_wanted(UpstreamConnection& upstream, bool& complete) = 0;
-    // A response that is relayed while it arrives: its head with the part of its body that is there, then
-    // each further part, then the last part, or the news that the rest never arrives.
+    // The next four report a response that is relayed while it arrives: its head with the part of its body
+    // that has arrived, then each further part, and at the end either the last part or that the rest was
+    // lost.
     virtual void on_response_started(UpstreamConnection& upstream, HttpMessage response,
                                      std::optional<std::size_t> length) = 0;
     virtual void on_response_part(UpstreamConnection& upstream, BufferChain bytes) = 0;
@@ -40,7 +42,8 @@
     virtual void on_unused_closed(UpstreamConnection& upstream) = 0;    // closed while it had no attempt
   };
 
-  // streams_response: a body over max_body_bytes is relayed in parts instead of being refused.
+  // streams_response: a long body, of up to HttpReader::kMostStreamed bytes, is relayed in parts. Else bodies
+  // over max_body_bytes make a response invalid.
   UpstreamConnection(Loop& loop, Owner& owner, std::string endpoint, std::size_t max_body_bytes,
                      bool streams_response);
   // Returns false if the connection can't be started. If this machine lacks a resource for it (a descriptor,
@@ -64,7 +67,7 @@
   void abort_response() { handle(Input::ResponseStalled); }
   // For how long no byte of the response has arrived; 0 while reading is paused.
   double silent_for() const { return tcp_.reads() ? loop_.now() - last_byte_at_ : 0; }
-  // More of the response's body has arrived than is ever buffered whole.
+  // More of the response's body has arrived than is buffered before it is relayed.
   bool response_is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }
   // On average since its first byte the response has arrived more slowly than that. False within the first
   // kMinRatePeriod.
@@ -77,7 +80,8 @@
   bool connecting_as_spare() const { return state_ == State::ConnectingSpare; }
   // Neither unread bytes nor an unread end of the connection have arrived.
   bool quiet() const { return tcp_.quiet(); }
-  // The attempt is not sent yet because this machine lacks a resource, such as descriptors or socket memory.
+  // The attempt is not sent, or not all of it, because this machine lacks a resource such as a descriptor or
+  // socket memory.
   bool blocked_locally() const {
     return (connecting() && !tcp_.socket()) || (state_ == State::Sending && tcp_.held_up());
   }
@@ -86,7 +90,7 @@
   double idle_for(double now) const { return now - idle_since_; }
 
  private:
-  // Seconds. The rate of a response that has only begun says nothing.
+  // Seconds. Over less time the average rate of a response means little.
   static constexpr double kMinRatePeriod = 0.3;
   // Seconds. Long enough for the second and third connection request (SYN) of the operating system.
   static constexpr double kMaxSpareConnectTime = 2;
