--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -361,7 +361,7 @@
       attempt.upstream->send_more_body();
     }
   }
-  // Reading from the client pauses while too much of the body waits to be sent.
+  // Pauses reading from the client while too much of the body waits to be sent.
   if (!whole && request.downstream &&
       request.message.body.size() > (has_connection ? kBodyPartBytes : kMaxUnsentBytes))
     request.downstream->hold_back(true);
@@ -382,6 +382,7 @@
   PendingRequest& request = *requests_.find(id);
   PendingAttempt& attempt = request.attempts[std::size_t(number)];
   double now = loop_.now();
+  // Another attempt or a timeout may have ended the request or this attempt before.
   bool late = request.concluded() || attempt.reported;
   if (late) {
     detach_and_close(upstream);
@@ -416,11 +417,14 @@
   if (downstream.behind()) upstream.pause_reading(true);
 }
 
+// The client has been sent all that was relayed so far.
 void RequestForwarder::on_drained(RequestId id) {
   PendingRequest* request = requests_.find(id);
   if (request && request->relay) request->relay->pause_reading(false);
 }
 
+// Ends a request whose response was relayed. Returns its downstream connection, which the caller still has to
+// end the response on.
 DownstreamConnection* RequestForwarder::end_relay(RequestId id, RequestOutcome outcome) {
   PendingRequest& request = *requests_.find(id);
   counters_.record_outcome(index_of(*request.request_class), outcome);
@@ -604,7 +608,7 @@
   }
 }
 
-// Returns the attempt that the connection carried, whose end is still to be reported.
+// Closes a connection that has an attempt. Returns that attempt, whose end the caller has to report.
 UpstreamConnection::AttemptId RequestForwarder::detach_and_close(UpstreamConnection& upstream) {
   UpstreamConnection::AttemptId attempt_id = upstream.attempt_id();
   requests_.find(attempt_id.request)->attempts[std::size_t(attempt_id.number)].upstream = nullptr;
