--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -83,7 +83,7 @@
     return successor.forwarder->idle_.add(endpoint, std::move(idle), idle_since);
   }
   idle->close();
-  loop_.bury(std::move(idle));
+  loop_.delete_later(std::move(idle));
 }
 
 bool RequestForwarder::can_be_destroyed() const {
@@ -102,11 +102,11 @@
 
 // ---- Host: what the policy asks for
 
-void RequestForwarder::start_attempt(RequestId id, std::string_view endpoint, double abandon_at) {
+void RequestForwarder::start_attempt(RequestId id, std::string_view endpoint, double attempt_deadline) {
   PendingRequest& request = *requests_.find(id);
   int number = int(request.attempts.size());
   double now = loop_.now();
-  double deadline = abandon_at > 0 ? std::min(abandon_at, request.deadline) : request.deadline;
+  double deadline = attempt_deadline > 0 ? std::min(attempt_deadline, request.deadline) : request.deadline;
   request.attempts.push_back({std::string(endpoint), now, deadline});
   loop_.at(deadline, alive_.guard([this, id, number] { on_attempt_deadline(id, number); }));
   if (client_may_have_left(id)) return report_attempt_end_soon(id, number, Outcome::NotSent);
@@ -129,9 +129,9 @@
       return {};
     }
     // The endpoint may have closed it without the loop having reported that yet.
-    if (reusable->quiet()) return reusable;
+    if (reusable->has_nothing_to_read()) return reusable;
     reusable->close();
-    loop_.bury(std::move(reusable));
+    loop_.delete_later(std::move(reusable));
   }
   return {};
 }
@@ -175,7 +175,7 @@
 void RequestForwarder::open_spare(UpstreamConnection::AttemptId attempt) {
   PendingRequest* request = requests_.find(attempt.request);
   UpstreamConnection* waiting = request ? request->attempts[std::size_t(attempt.number)].upstream : nullptr;
-  if (!waiting || !waiting->connecting() || retired_at_ || loop_.descriptors().left() <= 0) return;
+  if (!waiting || !waiting->connecting() || retired_at_ || loop_.descriptors().available() <= 0) return;
   const std::string endpoint = waiting->endpoint();
   if (auto found = spares_.find(endpoint);
       found != spares_.end() && found->second.size() >= kMaxSparesPerEndpoint)
@@ -194,7 +194,7 @@
   auto found = std::find_if(busy_.begin(), busy_.end(), [&](const auto& one) {
     return one.second->connecting() && one.second->endpoint() == endpoint;
   });
-  if (retired_at_) return loop_.bury(std::move(spare));
+  if (retired_at_) return loop_.delete_later(std::move(spare));
   // No response has arrived on it, so that it can be used without the delay.
   if (found == busy_.end()) return idle_.add(endpoint, std::move(spare), loop_.now() - kReuseDelay);
   std::unique_ptr<UpstreamConnection> waiting = std::move(busy_.extract(found).mapped());
@@ -228,7 +228,7 @@
   DownstreamConnection* downstream = requests_.find(id)->downstream;
   if (!downstream) return false;
   if (!downstream->gone()) return downstream->may_be_gone();
-  loop_.soon(alive_.guard([this, id] {
+  loop_.post(alive_.guard([this, id] {
     PendingRequest* left = requests_.find(id);
     if (left && left->downstream) left->downstream->part();
   }));
@@ -287,7 +287,7 @@
                                                     : RequestOutcome::Failed);
   downstream.answer(status, from, more_headers, text, false);
   // Removed on the next turn only: the policy may be working on this request and still cancel attempts of it.
-  loop_.soon(alive_.guard([this, id] { requests_.remove_if_finished(id); }));
+  loop_.post(alive_.guard([this, id] { requests_.remove_if_finished(id); }));
 }
 
 // ---- attempts and responses
@@ -317,7 +317,7 @@
   write_request(out, request.message, address ? *address : attempt.endpoint, write_time_left(left), parts);
   // Checked last: this process may have stalled since it read the clock, and the client left meanwhile.
   if (!request.concluded() && !client_may_have_left(id)) return out;
-  loop_.soon(alive_.guard([this, id = id, number = number] { end_unsent_attempt(id, number); }));
+  loop_.post(alive_.guard([this, id = id, number = number] { end_unsent_attempt(id, number); }));
   out.clear();
   return out;
 }
@@ -350,7 +350,7 @@
   request.message.body.add(bytes);
   request.body_incomplete = !whole;
   if (whole) {
-    const double arrived_at = loop_.now() - loop_.stalled();
+    const double arrived_at = loop_.now() - loop_.stall_duration();
     request.deadline = std::min(arrived_at + request.remaining_time_s, shutdown_deadline_.value_or(kNever));
     loop_.at(request.deadline - kDeadlineMargin, alive_.guard([this, id] { on_upload_deadline(id); }));
   }
@@ -444,7 +444,7 @@
 
 void RequestForwarder::on_response_aborted(UpstreamConnection& upstream) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Failed);
-  loop_.bury(take_busy(upstream));
+  loop_.delete_later(take_busy(upstream));
   downstream->cut_answer();
 }
 
@@ -462,7 +462,7 @@
   }
   if (!upstream->idle()) {
     upstream->close();
-    return loop_.bury(std::move(upstream));
+    return loop_.delete_later(std::move(upstream));
   }
   if (retired_at_) return hand_to_successor(std::move(upstream), loop_.now());
   std::string endpoint = upstream->endpoint();
@@ -485,7 +485,7 @@
 
 void RequestForwarder::on_unused_closed(UpstreamConnection& upstream) {
   std::unique_ptr<UpstreamConnection> spare = take_spare(upstream);
-  loop_.bury(spare ? std::move(spare) : idle_.remove(upstream.endpoint(), upstream));
+  loop_.delete_later(spare ? std::move(spare) : idle_.remove(upstream.endpoint(), upstream));
 }
 
 void RequestForwarder::on_attempt_deadline(RequestId id, int number) {
@@ -499,7 +499,7 @@
 }
 
 void RequestForwarder::report_attempt_end_soon(RequestId id, int number, Outcome outcome) {
-  loop_.soon(alive_.guard([this, id, number, outcome] { report_attempt_end(id, number, outcome, nullptr); }));
+  loop_.post(alive_.guard([this, id, number, outcome] { report_attempt_end(id, number, outcome, nullptr); }));
 }
 
 void RequestForwarder::report_attempt_end(RequestId id, int number, Outcome outcome, HttpMessage* response) {
@@ -525,7 +525,7 @@
   request.downstream = nullptr;
   if (UpstreamConnection* relay = std::exchange(request.relay, nullptr)) {
     relay->close();
-    loop_.bury(take_busy(*relay));
+    loop_.delete_later(take_busy(*relay));
     return requests_.remove_if_finished(id);
   }
   policy_->on_request_cancelled(loop_.now(), id);
@@ -544,7 +544,7 @@
   // The request may have waited unread, at the listener, behind another request or while this process was
   // stalled, and the client's timeout has been running meanwhile. That of an upload starts with its last
   // byte.
-  double waited_s = downstream.uploading() ? 0 : std::max(loop_.stalled(), downstream.lain());
+  double waited_s = downstream.uploading() ? 0 : std::max(loop_.stall_duration(), downstream.lain());
   remaining_time_s = std::max(0.0, remaining_time_s - waited_s);
   double now = loop_.now();
   if (shutdown_deadline_) remaining_time_s = std::clamp(*shutdown_deadline_ - now, 0.0, remaining_time_s);
@@ -576,7 +576,7 @@
   std::unique_ptr<UpstreamConnection> oldest = idle_.take_oldest(std::numeric_limits<double>::infinity());
   if (oldest) {
     oldest->close();
-    loop_.bury(std::move(oldest));
+    loop_.delete_later(std::move(oldest));
   }
 }
 
@@ -585,7 +585,7 @@
   if (spares.empty()) return;
   for (auto& spare : spares.mapped()) {
     spare->close();
-    loop_.bury(std::move(spare));
+    loop_.delete_later(std::move(spare));
   }
 }
 
@@ -594,7 +594,7 @@
   close_spares(endpoint);
   while (std::unique_ptr<UpstreamConnection> idle = idle_.take_most_recent(endpoint)) {
     idle->close();
-    loop_.bury(std::move(idle));
+    loop_.delete_later(std::move(idle));
   }
   // A draining endpoint gets no attempts after a grace period (rule 3). The connect timeout may be longer
   // than that, and the attempt is only sent once the connection is established.
@@ -613,7 +613,7 @@
   UpstreamConnection::AttemptId attempt_id = upstream.attempt_id();
   requests_.find(attempt_id.request)->attempts[std::size_t(attempt_id.number)].upstream = nullptr;
   upstream.close();
-  loop_.bury(std::move(busy_.extract(&upstream).mapped()));
+  loop_.delete_later(std::move(busy_.extract(&upstream).mapped()));
   return attempt_id;
 }
 
@@ -622,7 +622,7 @@
   while (std::unique_ptr<UpstreamConnection> expired =
              idle_.take_oldest(now - kMaxIdleShare * deployment_.idle_timeout_s)) {
     expired->close();
-    loop_.bury(std::move(expired));
+    loop_.delete_later(std::move(expired));
   }
   loop_.at(now + kIdleCheckInterval, alive_.guard([this] { close_expired_idle(); }));
 }
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -105,7 +105,7 @@
   };
 
   // Host, called by the policy.
-  void start_attempt(RequestId request, std::string_view endpoint, double abandon_at) override;
+  void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override;
   void cancel_attempt(RequestId request, int number) override;
   void reject_request(RequestId request, double retry_after_s) override;
   void fail_request(RequestId request) override;
@@ -206,7 +206,7 @@
   IdleReuseHistory idle_reuse_;
   std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>>
       busy_;  // with an attempt
-  Alive alive_;
+  LifetimeToken alive_;
   std::unique_ptr<Policy> policy_;
 };
 
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -86,7 +86,7 @@
 bool UpstreamConnection::connect(std::string_view address, double timeout_s) {
   TcpConnection::ConnectStart started = tcp_.connect(address);
   if (started == TcpConnection::ConnectStart::Refused) return false;
-  if (started == TcpConnection::ConnectStart::LocalWant)
+  if (started == TcpConnection::ConnectStart::LocalShortage)
     retry_connect(std::string(address), kFirstRetryPause,
                   loop_.now() + std::min(timeout_s, kLocalRetryPeriod));
   connect_timeout_s_ = timeout_s;
@@ -102,7 +102,7 @@
     if (state_ != State::Connecting && state_ != State::ConnectingSpare) return;
     TcpConnection::ConnectStart started = tcp_.connect(address);
     if (started == TcpConnection::ConnectStart::Refused) return handle(Input::ConnectionEnded);
-    if (started != TcpConnection::ConnectStart::LocalWant) return;
+    if (started != TcpConnection::ConnectStart::LocalShortage) return;
     if (loop_.now() >= retry_until) return handle(Input::LocalShortage);
     retry_connect(address, 2 * pause_s, retry_until);
   }));
@@ -132,7 +132,7 @@
 }
 
 void UpstreamConnection::send_more_body() {
-  while (state_ == State::Sending && tcp_.written()) {
+  while (state_ == State::Sending && tcp_.is_all_written()) {
     bool complete = false;
     BufferChain next = owner_->on_body_wanted(*this, complete);
     if (next.empty()) return complete ? handle(Input::RequestWritten) : void();
@@ -180,7 +180,7 @@
            alive_.guard([this, assigned_at] {
              if (state_ == State::Idle || assigned_at_ != assigned_at) return;  // that response is complete
              // While reading is paused for a slow client, silence is not the endpoint's fault.
-             if (!tcp_.reads()) last_byte_at_ = loop_.now();
+             if (!tcp_.is_reading()) last_byte_at_ = loop_.now();
              if (state_ == State::AwaitingResponse && must_relay_response() &&
                  owner_->outcome_of(reader_.message()) == Outcome::Delivered)
                handle(Input::ResponseStarted);
@@ -193,7 +193,7 @@
 void UpstreamConnection::on_ended(TcpConnection::End end) {
   // A response without a declared length ends with its connection; after a reset it is incomplete.
   if (end == TcpConnection::End::Closed) reader_.end();
-  if (end == TcpConnection::End::LocalWant) return handle(Input::LocalShortage);
+  if (end == TcpConnection::End::LocalShortage) return handle(Input::LocalShortage);
   handle(reader_.whole() ? Input::LastResponse : Input::ConnectionEnded);
 }
 
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "puffinvane/policy.h"
-#include "puffinvane/table.h"
+#include "puffinvane/transition_table.h"
 #include "src/http/http.h"
 #include "src/net/tcp_connection.h"
 
@@ -56,7 +56,7 @@
   void become_spare() { handle(Input::AttemptWithdrawn); }
   void send_more_body();  // more of the request's body has arrived from the client
   void pause_reading(bool paused) {
-    tcp_.read(!paused);
+    tcp_.set_reading(!paused);
     last_byte_at_ = loop_.now();
   }
   void close() {
@@ -66,7 +66,7 @@
   void set_owner(Owner& owner) { owner_ = &owner; }  // only while idle
   void abort_response() { handle(Input::ResponseStalled); }
   // For how long no byte of the response has arrived; 0 while reading is paused.
-  double silent_for() const { return tcp_.reads() ? loop_.now() - last_byte_at_ : 0; }
+  double silent_for() const { return tcp_.is_reading() ? loop_.now() - last_byte_at_ : 0; }
   // More of the response's body has arrived than is buffered before it is relayed.
   bool response_is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }
   // On average since its first byte the response has arrived more slowly than that. False within the first
@@ -79,11 +79,11 @@
   bool connecting() const { return state_ == State::Connecting; }  // for an attempt
   bool connecting_as_spare() const { return state_ == State::ConnectingSpare; }
   // Neither unread bytes nor an unread end of the connection have arrived.
-  bool quiet() const { return tcp_.quiet(); }
+  bool has_nothing_to_read() const { return tcp_.has_nothing_to_read(); }
   // The attempt is not sent, or not all of it, because this machine lacks a resource such as a descriptor or
   // socket memory.
   bool blocked_locally() const {
-    return (connecting() && !tcp_.socket()) || (state_ == State::Sending && tcp_.held_up());
+    return (connecting() && !tcp_.socket()) || (state_ == State::Sending && tcp_.waits_for_memory());
   }
   const AttemptId& attempt_id() const { return attempt_id_; }
   const std::string& endpoint() const { return endpoint_; }
@@ -151,7 +151,7 @@
   double idle_since_ = 0;
   bool reused_ = false;            // it was established before it got its current attempt
   bool response_started_ = false;  // a byte of the response to the current attempt has arrived
-  Alive alive_;
+  LifetimeToken alive_;
 };
 
 }  // namespace puffinvane
