--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -49,11 +49,11 @@
       options_(std::move(options)),
       counters_(deployment_.request_classes.size()),
       policy_(make(loop.now(), deployment_, seed, *this)) {
-  limiter_.join(*this);
+  limiter_.add(*this);
   close_expired_idle();
 }
 
-RequestForwarder::~RequestForwarder() { limiter_.leave(*this); }
+RequestForwarder::~RequestForwarder() { limiter_.remove(*this); }
 
 void RequestForwarder::begin_shutdown(double deadline) {
   shutdown_deadline_ = deadline;
@@ -150,7 +150,7 @@
   }
   if (!addresses_.find(endpoint)) return Outcome::ConnectFailed;
   // A shortage of descriptors here is not the endpoint's fault.
-  if (!limiter_.room_for_attempt()) return Outcome::NotSent;
+  if (!limiter_.make_room_for_attempt()) return Outcome::NotSent;
   std::unique_ptr<UpstreamConnection> fresh = open_connection(endpoint);
   if (!fresh) return Outcome::ConnectFailed;
   used = fresh.get();
@@ -227,10 +227,10 @@
 bool RequestForwarder::client_may_have_left(RequestId id) {
   DownstreamConnection* downstream = requests_.find(id)->downstream;
   if (!downstream) return false;
-  if (!downstream->gone()) return downstream->may_be_gone();
+  if (!downstream->check_client_closed()) return downstream->client_close_undetectable();
   loop_.post(alive_.guard([this, id] {
     PendingRequest* left = requests_.find(id);
-    if (left && left->downstream) left->downstream->part();
+    if (left && left->downstream) left->downstream->close();
   }));
   return true;
 }
@@ -253,7 +253,7 @@
 }
 
 void RequestForwarder::reject_request(RequestId id, double retry_after_s) {
-  std::string header = retry_after_s > 0 ? "Retry-After: " + write_wait(retry_after_s) + "\r\n" : "";
+  std::string header = retry_after_s > 0 ? "Retry-After: " + format_retry_after(retry_after_s) + "\r\n" : "";
   conclude(id, 503, nullptr, header, "bounced: trying again does no harm\n");
 }
 
@@ -279,13 +279,13 @@
   PendingRequest* request = requests_.find(id);
   if (!request || request->concluded()) return;
   DownstreamConnection& downstream = *std::exchange(request->downstream, nullptr);
-  downstream.request.reset();
+  downstream.open_request.reset();
   counters_.record_outcome(index_of(*request->request_class),
                            status == 503 && !from   ? RequestOutcome::Rejected
                            : status == 502 && !from ? RequestOutcome::Failed
                            : status < 500           ? RequestOutcome::Delivered
                                                     : RequestOutcome::Failed);
-  downstream.answer(status, from, more_headers, text, false);
+  downstream.respond(status, from, more_headers, text, false);
   // Removed on the next turn only: the policy may be working on this request and still cancel attempts of it.
   loop_.post(alive_.guard([this, id] { requests_.remove_if_finished(id); }));
 }
@@ -298,7 +298,7 @@
   // The time of an upload counts from its last byte, which may have arrived already and be unread because
   // reading is paused.
   const bool complete = !request.streams_body || !request.body_incomplete;
-  const double paused_s = request.downstream ? request.downstream->held_back_for() : 0;
+  const double paused_s = request.downstream ? request.downstream->reading_paused_for() : 0;
   const double left = complete ? std::min(attempt.deadline, request.deadline) - loop_.now()
                                : request.remaining_time_s - paused_s;
   return std::max(left - kTimeLeftMargin, left / 2);
@@ -311,10 +311,11 @@
   const std::string* address = addresses_.find(attempt.endpoint);
   BufferChain out(loop_.pool());
   const double left = time_left_to_send(request, attempt);
-  std::optional<Parts> parts;
-  if (request.streams_body) parts = Parts{request.body_length};
-  else if (request.message.body.size() > kBodyPartBytes) parts = Parts{request.message.body.size()};
-  write_request(out, request.message, address ? *address : attempt.endpoint, write_time_left(left), parts);
+  std::optional<BodyFraming> framing;
+  if (request.streams_body) framing = BodyFraming{request.body_length};
+  else if (request.message.body.size() > kBodyPartBytes) framing = BodyFraming{request.message.body.size()};
+  write_request(out, request.message, address ? *address : attempt.endpoint, format_remaining_deadline(left),
+                framing);
   // Checked last: this process may have stalled since it read the clock, and the client left meanwhile.
   if (!request.concluded() && !client_may_have_left(id)) return out;
   loop_.post(alive_.guard([this, id = id, number = number] { end_unsent_attempt(id, number); }));
@@ -330,7 +331,7 @@
   if (request.streams_body) {
     request.body_consumed = true;
     BufferChain part = std::exchange(body, BufferChain(loop_.pool()));
-    if (request.downstream) request.downstream->hold_back(false);
+    if (request.downstream) request.downstream->pause_reading(false);
     if (request.body_length) next = std::move(part);
     else write_chunk(next, part);
     if (!request.body_incomplete && !request.body_length && !std::exchange(attempt.body_bytes_sent, 1))
@@ -345,7 +346,7 @@
   return next;
 }
 
-void RequestForwarder::on_part(RequestId id, BufferChain bytes, bool whole) {
+void RequestForwarder::on_body_part(RequestId id, BufferChain bytes, bool whole) {
   PendingRequest& request = *requests_.find(id);
   request.message.body.add(bytes);
   request.body_incomplete = !whole;
@@ -364,7 +365,7 @@
   // Pauses reading from the client while too much of the body waits to be sent.
   if (!whole && request.downstream &&
       request.message.body.size() > (has_connection ? kBodyPartBytes : kMaxUnsentBytes))
-    request.downstream->hold_back(true);
+    request.downstream->pause_reading(true);
 }
 
 // The policy was told kMaxUploadTime as the request's remaining time, as the client's own time only started
@@ -392,9 +393,9 @@
   attempt.reported = true;
   if (attempt.reused_after_idle_s) idle_reuse_.record(*attempt.reused_after_idle_s, false);
   request.relay = &upstream;
-  Load load = read_load(response.header("X-Backend-Load"));
+  Load load = parse_load(response.header("X-Backend-Load"));
   loop_.at(request.deadline, alive_.guard([this, id] { check_relay(id); }));
-  request.downstream->begin_answer(response, length);
+  request.downstream->begin_response(response, length);
   on_response_part(upstream, std::move(response.body));
   policy_->on_attempt_ended(now, {id, number, Outcome::Delivered, true, now - attempt.started_at, load});
 }
@@ -413,12 +414,12 @@
 
 void RequestForwarder::on_response_part(UpstreamConnection& upstream, BufferChain bytes) {
   DownstreamConnection& downstream = *requests_.find(upstream.attempt_id().request)->downstream;
-  downstream.more(std::move(bytes));
-  if (downstream.behind()) upstream.pause_reading(true);
+  downstream.send_body_part(std::move(bytes));
+  if (downstream.has_write_backlog()) upstream.pause_reading(true);
 }
 
 // The client has been sent all that was relayed so far.
-void RequestForwarder::on_drained(RequestId id) {
+void RequestForwarder::on_response_drained(RequestId id) {
   PendingRequest* request = requests_.find(id);
   if (request && request->relay) request->relay->pause_reading(false);
 }
@@ -430,22 +431,22 @@
   counters_.record_outcome(index_of(*request.request_class), outcome);
   request.relay = nullptr;
   DownstreamConnection* downstream = std::exchange(request.downstream, nullptr);
-  downstream->request.reset();
+  downstream->open_request.reset();
   requests_.remove_if_finished(id);
   return downstream;
 }
 
 void RequestForwarder::on_response_finished(UpstreamConnection& upstream, BufferChain bytes) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Delivered);
-  downstream->more(std::move(bytes));
-  downstream->end_answer();
+  downstream->send_body_part(std::move(bytes));
+  downstream->end_response();
   keep_or_close(take_busy(upstream));
 }
 
 void RequestForwarder::on_response_aborted(UpstreamConnection& upstream) {
   DownstreamConnection* downstream = end_relay(upstream.attempt_id().request, RequestOutcome::Failed);
   loop_.delete_later(take_busy(upstream));
-  downstream->cut_answer();
+  downstream->abort_response();
 }
 
 std::unique_ptr<UpstreamConnection> RequestForwarder::take_busy(const UpstreamConnection& upstream) {
@@ -480,7 +481,7 @@
 }
 
 Outcome RequestForwarder::outcome_of(const HttpMessage& response) const {
-  return options_.relay_any_status ? outcome_of_any(response) : puffinvane::outcome_of(response);
+  return options_.relay_any_status ? outcome_of_any_status(response) : puffinvane::outcome_of(response);
 }
 
 void RequestForwarder::on_unused_closed(UpstreamConnection& upstream) {
@@ -509,7 +510,7 @@
   double now = loop_.now();
   if (outcome == Outcome::Delivered)
     conclude(id, options_.relay_any_status ? response->status : 200, response, "", "");
-  Load load = response ? read_load(response->header("X-Backend-Load")) : Load();
+  Load load = response ? parse_load(response->header("X-Backend-Load")) : Load();
   if (options_.relay_any_status && outcome == Outcome::Failed && response && response->status > 0 &&
       !request->concluded())
     request->error_response = std::move(*response);
@@ -520,7 +521,7 @@
 
 // ---- clients
 
-void RequestForwarder::on_client_left(RequestId id) {
+void RequestForwarder::on_client_disconnected(RequestId id) {
   PendingRequest& request = *requests_.find(id);
   request.downstream = nullptr;
   if (UpstreamConnection* relay = std::exchange(request.relay, nullptr)) {
@@ -544,34 +545,35 @@
   // The request may have waited unread, at the listener, behind another request or while this process was
   // stalled, and the client's timeout has been running meanwhile. That of an upload starts with its last
   // byte.
-  double waited_s = downstream.uploading() ? 0 : std::max(loop_.stall_duration(), downstream.lain());
+  double waited_s =
+      downstream.is_uploading() ? 0 : std::max(loop_.stall_duration(), downstream.queueing_time());
   remaining_time_s = std::max(0.0, remaining_time_s - waited_s);
   double now = loop_.now();
   if (shutdown_deadline_) remaining_time_s = std::clamp(*shutdown_deadline_ - now, 0.0, remaining_time_s);
   last_request_at_ = now;
   std::string tenant(message.header("X-Account"));
   std::string facts_header(message.header("X-Facts"));
-  RequestFacts facts = read_facts(facts_header);
+  RequestFacts facts = parse_request_facts(facts_header);
   PendingRequest request{std::move(message)};
   request.deadline = now + remaining_time_s;
   request.remaining_time_s = remaining_time_s;
   request.downstream = &downstream;
   request.request_class = &request_class;
-  if (downstream.uploading()) {
+  if (downstream.is_uploading()) {
     request.streams_body = true;
     request.body_incomplete = true;
-    request.body_length = downstream.length();
+    request.body_length = downstream.content_length();
     request.deadline = now + kMaxUploadTime;
     remaining_time_s = kMaxUploadTime;
   }
   RequestId id = requests_.add(std::move(request));
-  downstream.request = {this, id};
+  downstream.open_request = {this, id};
   policy_->on_request(now, {id, request_class.name, tenant, remaining_time_s, facts.key, facts.work});
 }
 
 // ---- connections to endpoints
 
-void RequestForwarder::drop_oldest_idle() {
+void RequestForwarder::close_oldest_idle() {
   if (!spares_.empty()) return close_spares(std::string(spares_.begin()->first));
   std::unique_ptr<UpstreamConnection> oldest = idle_.take_oldest(std::numeric_limits<double>::infinity());
   if (oldest) {
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -33,9 +33,9 @@
   // Endpoints are ordinary HTTP servers: clients get their status codes. Else a delivered response is sent on
   // as 200.
   bool relay_any_status = false;
-  std::size_t max_body_bytes = HttpReader::kMostBody;  // of a response
-  std::string pool_name;                               // for the log; empty if there is only one pool
-  bool stream_bodies = false;                          // longer responses are relayed while they arrive
+  std::size_t max_body_bytes = HttpReader::kMaxBodyBytes;  // of a response
+  std::string pool_name;                                   // for the log; empty if there is only one pool
+  bool stream_bodies = false;                              // longer responses are relayed while they arrive
 };
 
 class RequestForwarder final : public Host,
@@ -114,9 +114,9 @@
   void log(std::string_view text) override;
 
   // DownstreamConnection::RequestOwner
-  void on_client_left(RequestId request) override;
-  void on_part(RequestId request, BufferChain bytes, bool whole) override;
-  void on_drained(RequestId request) override;
+  void on_client_disconnected(RequestId request) override;
+  void on_body_part(RequestId request, BufferChain bytes, bool whole) override;
+  void on_response_drained(RequestId request) override;
 
   // UpstreamConnection::Owner
   BufferChain on_ready_to_send(UpstreamConnection& upstream) override;
@@ -133,8 +133,8 @@
   void on_unused_closed(UpstreamConnection& upstream) override;
 
   // ConnectionLimiter::ReclaimableConnections. Spares are reclaimed before idle connections.
-  double oldest_idle() const override { return spares_.empty() ? idle_.oldest_idle_since() : 0; }
-  void drop_oldest_idle() override;
+  double oldest_idle_since() const override { return spares_.empty() ? idle_.oldest_idle_since() : 0; }
+  void close_oldest_idle() override;
 
   // Requests
   bool client_may_have_left(RequestId id);
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -78,8 +78,8 @@
       owner_(&owner),
       endpoint_(std::move(endpoint)),
       tcp_(loop, *this),
-      reader_(HttpReader::Side::Answer, loop.pool(), max_body_bytes,
-              streams_response ? HttpReader::kMostStreamed : 0) {}
+      reader_(HttpReader::Side::Response, loop.pool(), max_body_bytes,
+              streams_response ? HttpReader::kMaxStreamedBodyBytes : 0) {}
 
 void UpstreamConnection::handle(Input input) { apply_transition(kTransitions, *this, state_, input); }
 
@@ -142,9 +142,9 @@
 
 // Whether the response, of which a part has arrived, is or may become too long to be buffered whole.
 bool UpstreamConnection::must_relay_response() const {
-  if (!reader_.streams() || !reader_.in_body()) return false;
-  if (reader_.declared()) return *reader_.declared() > HttpReader::kMostBody;
-  return reader_.body_so_far() > HttpReader::kMostBody ||
+  if (!reader_.is_streaming() || !reader_.in_body()) return false;
+  if (reader_.content_length()) return *reader_.content_length() > HttpReader::kMaxBodyBytes;
+  return reader_.body_bytes_received() > HttpReader::kMaxBodyBytes ||
          loop_.now() - response_started_at_ > kMaxBufferingTime;
 }
 
@@ -155,10 +155,10 @@
   if (first) response_started_at_ = last_byte_at_;
   std::size_t used = reader_.feed(bytes);
   if (reader_.fault() != HttpReader::Fault::None) return handle(Input::InvalidResponse);
-  if (!reader_.whole()) {
+  if (!reader_.is_complete()) {
     if (first) watch_response(assigned_at_);  // most responses arrive whole at once and need no timer
     if (state_ == State::Relaying) {
-      if (BufferChain part = reader_.take_part(); !part.empty())
+      if (BufferChain part = reader_.take_body_part(); !part.empty())
         owner_->on_response_part(*this, std::move(part));
     } else if (must_relay_response()) {
       // A long response is not relayed while the request is still being written, nor one that reports an
@@ -192,9 +192,9 @@
 
 void UpstreamConnection::on_ended(TcpConnection::End end) {
   // A response without a declared length ends with its connection; after a reset it is incomplete.
-  if (end == TcpConnection::End::Closed) reader_.end();
+  if (end == TcpConnection::End::Closed) reader_.end_of_input();
   if (end == TcpConnection::End::LocalShortage) return handle(Input::LocalShortage);
-  handle(reader_.whole() ? Input::LastResponse : Input::ConnectionEnded);
+  handle(reader_.is_complete() ? Input::LastResponse : Input::ConnectionEnded);
 }
 
 void UpstreamConnection::report_response() {
@@ -204,13 +204,13 @@
   owner_->on_attempt_ended(*this, outcome, reader_.take());
 }
 void UpstreamConnection::report_response_started() {
-  std::optional<std::size_t> length = reader_.declared();
-  owner_->on_response_started(*this, reader_.take_begun(), length);
+  std::optional<std::size_t> length = reader_.content_length();
+  owner_->on_response_started(*this, reader_.take_head(), length);
 }
 void UpstreamConnection::report_response_finished() {
   if (state_ == State::Closed) tcp_.close();
   idle_since_ = loop_.now();
-  BufferChain rest = reader_.take_part();
+  BufferChain rest = reader_.take_body_part();
   reader_.take();
   owner_->on_response_finished(*this, std::move(rest));
 }
@@ -219,15 +219,15 @@
   owner_->on_response_aborted(*this);
 }
 void UpstreamConnection::report_invalid_response() { close_and_report(Outcome::Failed); }
-void UpstreamConnection::report_lost_before_sent() { close_and_report(outcome_of_break(false)); }
+void UpstreamConnection::report_lost_before_sent() { close_and_report(outcome_of_disconnect(false)); }
 void UpstreamConnection::report_lost_after_sent() {
   // A reused connection that breaks this soon and without a byte of the response was dropped while idle.
   bool was_stale = reused_ && !response_started_ && loop_.now() - assigned_at_ < connect_timeout_s_;
-  close_and_report(was_stale ? Outcome::Stale : outcome_of_break(true));
+  close_and_report(was_stale ? Outcome::Stale : outcome_of_disconnect(true));
 }
 // The attempt ends here; the connection goes on connecting as a spare.
 void UpstreamConnection::report_connect_timeout() {
-  owner_->on_attempt_ended(*this, outcome_of_break(false), HttpMessage(loop_.pool()));
+  owner_->on_attempt_ended(*this, outcome_of_disconnect(false), HttpMessage(loop_.pool()));
 }
 void UpstreamConnection::report_spare_connected() {
   idle_since_ = loop_.now();
--- a/src/proxy/upstream_connection.h
+++ b/src/proxy/upstream_connection.h
@@ -42,8 +42,8 @@
     virtual void on_unused_closed(UpstreamConnection& upstream) = 0;    // closed while it had no attempt
   };
 
-  // streams_response: a long body, of up to HttpReader::kMostStreamed bytes, is relayed in parts. Else bodies
-  // over max_body_bytes make a response invalid.
+  // streams_response: a long body, of up to HttpReader::kMaxStreamedBodyBytes bytes, is relayed in parts.
+  // Else bodies over max_body_bytes make a response invalid.
   UpstreamConnection(Loop& loop, Owner& owner, std::string endpoint, std::size_t max_body_bytes,
                      bool streams_response);
   // Returns false if the connection can't be started. If this machine lacks a resource for it (a descriptor,
@@ -68,12 +68,12 @@
   // For how long no byte of the response has arrived; 0 while reading is paused.
   double silent_for() const { return tcp_.is_reading() ? loop_.now() - last_byte_at_ : 0; }
   // More of the response's body has arrived than is buffered before it is relayed.
-  bool response_is_long() const { return reader_.body_so_far() > HttpReader::kMostBody; }
+  bool response_is_long() const { return reader_.body_bytes_received() > HttpReader::kMaxBodyBytes; }
   // On average since its first byte the response has arrived more slowly than that. False within the first
   // kMinRatePeriod.
   bool response_slower_than(double bytes_per_s) const {
     double elapsed = loop_.now() - response_started_at_;
-    return elapsed > kMinRatePeriod && double(reader_.body_so_far()) < bytes_per_s * elapsed;
+    return elapsed > kMinRatePeriod && double(reader_.body_bytes_received()) < bytes_per_s * elapsed;
   }
   bool idle() const { return state_ == State::Idle; }
   bool connecting() const { return state_ == State::Connecting; }  // for an attempt
