--- a/src/policy/backup_request_policy.cpp
+++ b/src/policy/backup_request_policy.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr double kTickSeconds = CompletionRate::kTickSeconds;
-constexpr double kStallSeconds = 0.35;  // a gap between two calls that means this process was held up
-// Without a request for so long nothing is known of rates: as far as the recent one looks back.
+constexpr double kStallSeconds = 0.35;  // a longer gap between two calls means that this process stalled
+// After this time without a request the rates are unknown: it is the window of the recent completion rate.
 constexpr double kRateHistoryResetSeconds = 8;
 constexpr double kMaxWorkRatio = 4;
 
@@ -73,18 +73,20 @@
   }
   last_request_at_ = now;
   RequestState accepted = accept(request);
-  // Rule 1: the answer has to be out before the deadline.
-  double answer_at = accepted.deadline - 2 * deployment_.round_trip_s;
-  host_.schedule_timer(std::max(now, answer_at), deadline_timer(accepted.id));
-  // Behind more requests than can be sent before its queue deadline it would only wait to be rejected.
-  auto ahead = double(queue_.count_ahead_of(accepted.queue_position));
-  double sendable = completions_.recent_per_s() * (accepted.queue_deadline - now);
-  bool is_hopeless =
-      deployment_.responses_report_load || (completions_.recent_per_s() > 0 && ahead > sendable);
+  // Rule 1: the client must have its response before the deadline, so the request is ended two round trips
+  // earlier.
+  double response_due_at = accepted.deadline - 2 * deployment_.round_trip_s;
+  host_.schedule_timer(std::max(now, response_due_at), deadline_timer(accepted.id));
+  // If more requests are queued ahead than can be sent before its queue deadline, waiting would only delay
+  // its rejection. Where responses report load, requests are admitted at once or not at all.
+  auto requests_ahead = double(queue_.count_ahead_of(accepted.queue_position));
+  double sendable_requests = completions_.recent_per_s() * (accepted.queue_deadline - now);
+  bool would_expire_in_queue = deployment_.responses_report_load ||
+                               (completions_.recent_per_s() > 0 && requests_ahead > sendable_requests);
   RequestState& pending = requests_[request.id] = std::move(accepted);
   bool no_endpoint_left = !endpoints_.slots().empty() && endpoints_.listed_count() == 0;
-  if (no_endpoint_left || (is_hopeless && !has_capacity_for(pending))) {
-    apply_event(pending, give_up_event(pending));
+  if (no_endpoint_left || (would_expire_in_queue && !has_capacity_for(pending))) {
+    apply_event(pending, reject_or_fail_event(pending));
     requests_.erase(request.id);
   }
   dispatch_queued_requests();
@@ -93,7 +95,7 @@
 RequestState BackupRequestPolicy::accept(const Request& request) {
   RequestState accepted;
   accepted.id = request.id;
-  // A name that the settings do not have counts as the last class.
+  // A request of a class that is not configured belongs to the last class.
   while (accepted.class_index + 1 < latencies_.class_count() &&
          class_of(accepted).name != request.request_class) {
     ++accepted.class_index;
@@ -187,7 +189,7 @@
     }
     return;
   }
-  apply_event(request, give_up_event(request));
+  apply_event(request, reject_or_fail_event(request));
   erase_if_complete(found);
   dispatch_queued_requests();
 }
@@ -223,24 +225,24 @@
   if (!state.completion_rates.empty()) {
     imported_at_ = now;
   }
-  // The first seconds are over: no policy knows less of the endpoints than one that has just started.
+  // The exporter started earlier, so this policy need not wait through the startup time of the concurrency
+  // limit again.
   if (state.started_at_s > 0) {
     started_at_ = std::min(started_at_, state.started_at_s);
   }
 }
 
 void BackupRequestPolicy::advance_time(double now) {
-  // If this process was stalled, every outstanding attempt looks late. Ignore lateness measured across a
-  // stall.
+  // After a stall of this process every attempt in flight looks late. Lateness is therefore not measured
+  // across a stall.
   if (now - now_ > kStallSeconds) {
-    awake_since_ = now;
+    last_stall_end_ = now;
   }
   now_ = now;
 }
 
-// After a long quiet time the rates would say that no request completes, and nearly all would be rejected.
-// What is admitted follows what a policy knows that has just started; old samples of endpoints tell nothing
-// any more.
+// After a long time without requests the completion rate is 0, and nearly all requests would be rejected.
+// Admission therefore starts as in a new policy, and stale samples of endpoints are dropped.
 void BackupRequestPolicy::restart_learning() {
   started_at_ = now_;
   completions_.clear();
--- a/src/policy/backup_request_policy.h
+++ b/src/policy/backup_request_policy.h
@@ -1,9 +1,11 @@
-// The policy of "Backup requests and bounded queueing": it translates host events into calls on the modules
-// that own the state, and holds the two tables of transitions, of requests and of endpoint health.
-// docs/design.md says which rule is the paper's, which is a departure, and when each acts.
+// BackupRequestPolicy implements the paper "Backup requests and bounded queueing". It translates events from
+// the host into calls on the modules that own the state, and holds two state machines: the phase of each
+// request and the health of each endpoint. docs/design.md says which rules come from the paper, which deviate
+// from it, and when each applies.
 //
-// Implementation: backup_request_policy.cpp (events), request_transitions.cpp (requests, dispatch),
-// endpoint_transitions.cpp (list, health, outcomes) and periodic_work.cpp (every tick).
+// The implementation is split by topic: backup_request_policy.cpp (events from the host),
+// request_transitions.cpp (requests and their dispatch), endpoint_transitions.cpp (endpoint lists, health and
+// attempt outcomes) and periodic_work.cpp (the tick timer).
 #pragma once
 
 #include <array>
@@ -50,7 +52,7 @@
   void import_learned_state(double now, const LearnedState& state, double share) override;
 
  private:
-  enum class RequestEvent { CapacityAvailable, HedgeDue, Concluded, HedgeLost, Retry, Reject, Fail };
+  enum class RequestEvent { CapacityAvailable, HedgeDue, Concluded, OneAttemptLost, Retry, Reject, Fail };
   enum class HealthEvent {
     FailureDetected,
     EjectionEnded,
@@ -66,22 +68,22 @@
   static const std::array<RequestTransition, 13> kRequestTransitions;
   static const std::array<HealthTransition, 10> kHealthTransitions;
 
-  // What a response says of its endpoint, worked out once for an attempt.
-  struct ResponseFacts {
+  // What the end of an attempt shows about its endpoint, computed once for each attempt.
+  struct ResponseObservation {
     ResponseSample sample;
-    double request_latency_s = 0;  // since the first attempt of the request
-    bool sent_before_stall = false;
+    double request_latency_s = 0;    // since the first attempt of the request was sent
+    bool sent_before_stall = false;  // this process stalled meanwhile, so that the latency is unreliable
   };
 
-  // Which endpoints a tick looks at.
+  // Which endpoints a tick maintains. AllTracked includes those of the subset.
   enum class MaintenanceScope { Subset, AllTracked };
-  // What holds for all endpoints in one tick.
-  struct TickFacts {
-    double warm_attempts = 0;  // that a warm endpoint of weight 1 gets
-    bool lateness_is_shared = false;
+  // Values that are the same for all endpoints in one tick.
+  struct TickContext {
+    double warm_attempts = 0;         // attempts for each unit of weight of a warm endpoint
+    bool lateness_is_shared = false;  // so many requests are late that no single endpoint is the cause
   };
 
-  // ---- events (backup_request_policy.cpp)
+  // ---- events from the host (backup_request_policy.cpp)
   void advance_time(double now);
   void restart_learning();
   RequestState accept(const Request& request);
@@ -94,14 +96,14 @@
   void reject(RequestState& request);
   void fail(RequestState& request);
   void finish(RequestState& request);
-  void keep_waiting(RequestState&) {}
+  void await_remaining_attempt(RequestState&) {}
   void send(RequestState& request, EndpointIndex target);
-  void start_attempt_timer(const RequestState& request, double delay_s);
+  void start_hedge_timer(const RequestState& request, double delay_s);
   void consider_hedge(RequestState& request);
   void dispatch_queued_requests();
-  void give_up_expired_requests();
+  void reject_or_fail_expired_requests();
   RequestEvent event_after_loss(const RequestState& request) const;
-  RequestEvent give_up_event(const RequestState& request) const;
+  RequestEvent reject_or_fail_event(const RequestState& request) const;
   void erase_if_complete(Requests::iterator request);
   bool has_capacity_for(const RequestState& request) const;
   double queue_timeout_s(const RequestState& request) const;
@@ -122,18 +124,19 @@
   void on_failure(Endpoint& endpoint, std::optional<std::size_t> class_index);
   void record_outcome(Endpoint& endpoint, const RequestState& request, const Attempt& attempt,
                       const AttemptEnd& end);
-  void record_delivery(Endpoint& endpoint, const RequestState& request, const ResponseFacts& facts);
-  void record_error(Endpoint& endpoint, const RequestState& request, ResponseFacts facts);
+  void record_delivery(Endpoint& endpoint, const RequestState& request,
+                       const ResponseObservation& observation);
+  void record_error(Endpoint& endpoint, const RequestState& request, ResponseObservation observation);
 
-  // ---- every tick (periodic_work.cpp)
+  // ---- tick timer (periodic_work.cpp)
   void start_tick_timer(double delay_s);
   void on_tick();
   void report_hedging();
   void release_unused_statistics();
   MaintenanceScope reselect_subset_if_due();
   void maintain_endpoints(MaintenanceScope scope);
-  void maintain_endpoint(Endpoint& endpoint, const TickFacts& facts);
-  void maintain_class(Endpoint& endpoint, std::size_t class_index, const TickFacts& facts);
+  void maintain_endpoint(Endpoint& endpoint, const TickContext& context);
+  void maintain_class(Endpoint& endpoint, std::size_t class_index, const TickContext& context);
   void release_lost_requests(const Endpoint& endpoint);
   double warm_attempts_per_tick() const;
 
@@ -141,15 +144,15 @@
   Host& host_;
   Random random_;
   double now_;
-  double started_at_;          // when it began to learn
-  double awake_since_ = -1e9;  // the end of the last stall of this process
-  double imported_at_ = -1e9;
+  double started_at_;             // when it began to collect rates and samples
+  double last_stall_end_ = -1e9;  // when this process last continued after a stall
+  double imported_at_ = -1e9;     // when completion rates were last imported
   double last_request_at_;
-  double next_report_at_ = 0;
-  double next_second_at_ = 0;
+  double next_report_at_ = 0;  // of the hedging counts, in the log
+  double next_per_second_work_at_ = 0;
   std::uint64_t tick_count_ = 0;
-  std::uint64_t prioritized_sequence_ = 0;  // of the queue, when priorities were last updated
-  bool subset_is_stale_ = false;            // an endpoint was ejected
+  std::uint64_t prioritized_sequence_ = 0;  // last sequence number of the queue at the last priority update
+  bool subset_is_stale_ = false;            // an endpoint was ejected since the subset was selected
 
   EndpointTable endpoints_;
   LatencyTracker latencies_;
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -45,7 +45,7 @@
 // many instances, rounding each limit up to a whole request would admit too much in total; a random threshold
 // for each request makes the expected total exact.
 bool ConcurrencyLimit::is_under_floor(const RequestState& request, double now, double started_at) const {
-  bool is_starting = now < started_at + kStartSeconds;
+  bool is_starting = now < started_at + kStartupSeconds;
   double per_endpoint = is_starting ? kFloorPerEndpointAtStart : kFloorPerEndpoint;
   double floor = per_endpoint * inputs_.endpoints.count(Health::Healthy) / inputs_.deployment.instance_count;
   double class_floor = 2 * inputs_.priority.services()[request.class_index].success_ratio;
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -15,7 +15,7 @@
 class ConcurrencyLimit {
  public:
   // Time after the start in which rates are not known.
-  static constexpr double kStartSeconds = 3;
+  static constexpr double kStartupSeconds = 3;
 
   struct Inputs {
     const Deployment& deployment;
--- a/src/policy/discovery_refresh.cpp
+++ b/src/policy/discovery_refresh.cpp
@@ -15,33 +15,33 @@
 DiscoveryRefresh::DiscoveryRefresh(const Deployment& deployment, double now, double stagger)
     : deployment_(deployment) {
   if (deployment.polls_endpoint_list) {
-    poll_at_ = now + stagger * deployment.list_poll_interval_s * kStartShare;
+    next_poll_at_ = now + stagger * deployment.list_poll_interval_s * kStartShare;
   }
 }
 
 bool DiscoveryRefresh::begin_poll_if_due(double now) {
-  if (poll_at_ <= 0 || now < poll_at_) {
+  if (next_poll_at_ <= 0 || now < next_poll_at_) {
     return false;
   }
-  poll_at_ = 0;
-  answer_due_at_ = now + deployment_.list_poll_interval_s;
+  next_poll_at_ = 0;
+  response_due_at_ = now + deployment_.list_poll_interval_s;
   return true;
 }
 
-void DiscoveryRefresh::expire_poll(double now, Random& random) {
-  if (answer_due_at_ > 0 && now > answer_due_at_) {
+void DiscoveryRefresh::fail_overdue_poll(double now, Random& random) {
+  if (response_due_at_ > 0 && now > response_due_at_) {
     on_poll_failed(now, random);
   }
 }
 
 void DiscoveryRefresh::on_list_received() {
-  answer_due_at_ = 0;
+  response_due_at_ = 0;
   backoff_s_ = kFirstBackoffSeconds;
 }
 
 void DiscoveryRefresh::on_poll_failed(double now, Random& random) {
-  answer_due_at_ = 0;
-  poll_at_ = now + backoff_s_ * (kJitterFloor + random.uniform());
+  response_due_at_ = 0;
+  next_poll_at_ = now + backoff_s_ * (kJitterFloor + random.uniform());
   backoff_s_ = std::min(backoff_s_ * 2, deployment_.list_poll_interval_s);
 }
 
--- a/src/policy/discovery_refresh.h
+++ b/src/policy/discovery_refresh.h
@@ -15,7 +15,7 @@
   // Returns whether a poll is due; it counts as sent.
   bool begin_poll_if_due(double now);
   // A poll without an answer within the interval has failed.
-  void expire_poll(double now, Random& random);
+  void fail_overdue_poll(double now, Random& random);
   void on_list_received();
   void on_poll_failed(double now, Random& random);
 
@@ -23,8 +23,8 @@
   static constexpr double kFirstBackoffSeconds = 0.5;
 
   const Deployment& deployment_;
-  double poll_at_ = 0;        // 0: none is planned
-  double answer_due_at_ = 0;  // 0: none is outstanding
+  double next_poll_at_ = 0;        // 0: none is planned
+  double response_due_at_ = 0;  // 0: none is outstanding
   double backoff_s_ = kFirstBackoffSeconds;
 };
 
--- a/src/policy/discovery_refresh_test.cpp
+++ b/src/policy/discovery_refresh_test.cpp
@@ -59,10 +59,10 @@
   Random random(5);
   ASSERT_TRUE(refresh.begin_poll_if_due(kNow));
 
-  refresh.expire_poll(kNow + 10, random);
+  refresh.fail_overdue_poll(kNow + 10, random);
   EXPECT_FALSE(refresh.begin_poll_if_due(kNow + 11));
 
-  refresh.expire_poll(kNow + 10.1, random);
+  refresh.fail_overdue_poll(kNow + 10.1, random);
   EXPECT_TRUE(refresh.begin_poll_if_due(kNow + 10.1 + 0.75));
 }
 
--- a/src/policy/endpoint_transitions.cpp
+++ b/src/policy/endpoint_transitions.cpp
@@ -1,5 +1,5 @@
-// Endpoints: the table of health transitions with its effects, the list, what outcomes say of an endpoint,
-// and the periodic work on endpoints.
+// The state machine of endpoint health and its effects, updates from endpoint lists, and the statistics that
+// attempt outcomes add to.
 #include <algorithm>
 #include <array>
 #include <iterator>
@@ -46,7 +46,8 @@
   target.responses.clear_samples();
   host_.on_observation(PolicyObservation::EndpointEjected, 0);
   subset_is_stale_ = true;
-  // What is lost there must not take capacity from the other endpoints until its deadline.
+  // Attempts in flight here are probably lost. They must not take capacity from the other endpoints until the
+  // deadlines of their requests.
   for (const InFlightAttempt& attempt : target.in_flight) {
     limit_.release(requests_.at(attempt.request));
   }
@@ -98,8 +99,8 @@
   }
 }
 
-// Where such a list does not bind, an endpoint that is missing from it is removed once own attempts fail
-// there, too.
+// Where only draining is binding, an endpoint that the list leaves out may still serve; it is removed only if
+// it is ejected as well, that is, if attempts of this instance fail there too.
 void BackupRequestPolicy::on_endpoint_missing(Endpoint& endpoint) {
   endpoint.is_missing = true;
   if (!deployment_.only_draining_binds || endpoint.health() == Health::Ejected) {
@@ -128,23 +129,23 @@
 void BackupRequestPolicy::record_outcome(Endpoint& endpoint, const RequestState& request,
                                          const Attempt& attempt, const AttemptEnd& end) {
   std::size_t class_index = request.class_index;
-  ResponseFacts facts;
-  facts.sample.completed_at_s = now_;
-  facts.sample.latency_ratio = end.latency_s / latencies_.calm_latency_s(class_index);
-  facts.sample.depth = attempt.depth;
-  facts.sample.in_time = end.latency_s <= latencies_.hedge_threshold_s(class_index);
-  facts.request_latency_s = now_ - request.attempts.front().sent_at;
-  facts.sent_before_stall = attempt.sent_at < awake_since_;
+  ResponseObservation observation;
+  observation.sample.completed_at_s = now_;
+  observation.sample.latency_ratio = end.latency_s / latencies_.calm_latency_s(class_index);
+  observation.sample.depth = attempt.depth;
+  observation.sample.in_time = end.latency_s <= latencies_.hedge_threshold_s(class_index);
+  observation.request_latency_s = now_ - request.attempts.front().sent_at;
+  observation.sent_before_stall = attempt.sent_at < last_stall_end_;
   bool shows_lag = end.outcome == Outcome::Delivered || end.outcome == Outcome::TimedOut;
-  if (deployment_.responses_report_load && !facts.sent_before_stall && shows_lag) {
+  if (deployment_.responses_report_load && !observation.sent_before_stall && shows_lag) {
     fleet_load_.record_lag(now_, end.latency_s / class_of(request).latency_objective_s);
   }
   switch (end.outcome) {
-    case Outcome::Delivered: record_delivery(endpoint, request, facts); return;
-    case Outcome::Failed: record_error(endpoint, request, facts); return;
+    case Outcome::Delivered: record_delivery(endpoint, request, observation); return;
+    case Outcome::Failed: record_error(endpoint, request, observation); return;
     case Outcome::ConnectFailed:
     case Outcome::Broken: on_failure(endpoint, std::nullopt); return;
-    // These say nothing of the endpoint.
+    // These outcomes are no evidence against the endpoint.
     case Outcome::Refused:
     case Outcome::TimedOut:
     case Outcome::Stale:
@@ -154,25 +155,25 @@
 }
 
 void BackupRequestPolicy::record_delivery(Endpoint& endpoint, const RequestState& request,
-                                          const ResponseFacts& facts) {
+                                          const ResponseObservation& observation) {
   bool is_pending = request.phase != RequestPhase::Finished;
   std::array<AttemptTarget*, 2> targets = {&endpoint.whole, &endpoint.by_class[request.class_index]};
   for (AttemptTarget* target : targets) {
     target->responses.record_response_time(now_);
-    if (!facts.sent_before_stall) {
-      target->responses.record_sample(facts.sample);
+    if (!observation.sent_before_stall) {
+      target->responses.record_sample(observation.sample);
     }
   }
   if (is_pending) {
-    bool on_time = facts.request_latency_s <= class_of(request).latency_objective_s;
+    bool on_time = observation.request_latency_s <= class_of(request).latency_objective_s;
     auto result = on_time ? ServiceStatistics::Result::OnTime : ServiceStatistics::Result::NotOnTime;
     priority_.record_outcome(request, result, now_);
   }
-  if (is_pending && !facts.sent_before_stall) {
+  if (is_pending && !observation.sent_before_stall) {
     double threshold_s = latencies_.hedge_threshold_s(request.class_index);
-    bool is_late = facts.request_latency_s > threshold_s;
+    bool is_late = observation.request_latency_s > threshold_s;
     hedging_.record_lateness(is_late ? Hedging::Lateness::Late : Hedging::Lateness::InTime);
-    latencies_.record_latency(request.class_index, facts.request_latency_s);
+    latencies_.record_latency(request.class_index, observation.request_latency_s);
   }
   completions_.record_response();
   for (AttemptTarget* target : targets) {
@@ -183,13 +184,15 @@
   }
 }
 
-void BackupRequestPolicy::record_error(Endpoint& endpoint, const RequestState& request, ResponseFacts facts) {
-  facts.sample.failed = true;
+void BackupRequestPolicy::record_error(Endpoint& endpoint, const RequestState& request,
+                                       ResponseObservation observation) {
+  observation.sample.failed = true;
   for (AttemptTarget* target : {&endpoint.whole, &endpoint.by_class[request.class_index]}) {
     target->responses.record_response_time(now_);
-    target->responses.record_sample(facts.sample);
+    target->responses.record_sample(observation.sample);
   }
-  // With no tier behind it an error is the endpoint's own, and may be this request class's alone.
+  // If no tier is behind the endpoint, the endpoint itself caused the error, possibly only for this request
+  // class.
   if (deployment_.last_tier) {
     on_failure(endpoint, request.class_index);
   }
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 // Figures of the paper: the bound on depth as a share of the capacity, and the error ratio of an endpoint.
-constexpr double kCapacityShare = 0.85;
-constexpr double kErrorRatioBound = 0.01;
+constexpr double kMaxDepthShare = 0.85;
+constexpr double kMaxErrorRatio = 0.01;
 constexpr std::size_t kLatenessLimit = 40;
 constexpr double kSharedLatenessShare = 0.25;
-constexpr double kSuspectSlowness = 1.5;      // times calm
-constexpr double kThresholdsUnsuspected = 2;  // that an endpoint with nothing against it has
-constexpr double kThresholdsRechecked = 4;    // after which no further recheck is made
+constexpr double kSlowEndpointThreshold = 1.5;      // times calm
+constexpr double kGraceThresholds = 2;  // that an endpoint with nothing against it has
+constexpr double kMaxRecheckThresholds = 4;    // after which no further recheck is made
 
 // By Outcome, in the order in which the log has them.
 constexpr std::array<std::string_view, 6> kOutcomeNames = {
@@ -33,18 +33,18 @@
 
 void Hedging::restore_lateness(std::deque<double> lateness) { lateness_ = std::move(lateness); }
 
-double Hedging::waited_s(const RequestState& request, double now, double awake_since) const {
-  return now - std::max(request.attempts.back().sent_at, awake_since);
+double Hedging::waited_s(const RequestState& request, double now, double last_stall_end) const {
+  return now - std::max(request.attempts.back().sent_at, last_stall_end);
 }
 
 Hedging::Decision Hedging::decide(const RequestState& request, const Endpoint& endpoint, double now,
-                                  double awake_since) {
+                                  double last_stall_end) {
   const Attempt& attempt = request.attempts.back();
   if (int(request.attempts.size()) >= deployment_.max_attempts || !attempt.is_in_flight) {
     return Decision::NotDue;
   }
   double threshold_s = latencies_.hedge_threshold_s(request.class_index);
-  double waited = waited_s(request, now, awake_since);
+  double waited = waited_s(request, now, last_stall_end);
   if (waited < threshold_s - deployment_.round_trip_s) {
     return Decision::NotDue;
   }
@@ -52,9 +52,9 @@
   // endpoint that has responded to a later attempt is believed, and one with nothing against it gets another
   // threshold.
   bool has_responded_since = endpoint.whole.responses.last_response_at() > attempt.sent_at;
-  bool is_within_grace = waited < kThresholdsUnsuspected * threshold_s;
-  if (endpoint.whole.responses.slowness(now) < kSuspectSlowness && (has_responded_since || is_within_grace)) {
-    count(Outcome::NotSuspect);
+  bool is_within_grace = waited < kGraceThresholds * threshold_s;
+  if (endpoint.whole.responses.slowness(now) < kSlowEndpointThreshold && (has_responded_since || is_within_grace)) {
+    count(Outcome::EndpointNotSlow);
     return Decision::Recheck;
   }
   if (is_lateness_shared() && lateness_.size() >= LatencyTracker::kMinimumSamples) {
@@ -64,18 +64,18 @@
   return Decision::Allowed;
 }
 
-bool Hedging::should_recheck(const RequestState& request, double now, double awake_since) const {
+bool Hedging::should_recheck(const RequestState& request, double now, double last_stall_end) const {
   double threshold_s = latencies_.hedge_threshold_s(request.class_index);
-  return waited_s(request, now, awake_since) < kThresholdsRechecked * threshold_s;
+  return waited_s(request, now, last_stall_end) < kMaxRecheckThresholds * threshold_s;
 }
 
 bool Hedging::accepts_target(const Endpoint& endpoint, double now) {
   double capacity = endpoint.whole.responses.learned_capacity();
-  if (effective_depth(endpoint, now) >= std::max(1.0, kCapacityShare * capacity)) {
+  if (effective_depth(endpoint, now) >= std::max(1.0, kMaxDepthShare * capacity)) {
     count(Outcome::TooDeep);
     return false;
   }
-  if (endpoint.whole.responses.error_ratio() >= kErrorRatioBound) {
+  if (endpoint.whole.responses.error_ratio() >= kMaxErrorRatio) {
     count(Outcome::TooManyErrors);
     return false;
   }
--- a/src/policy/hedging.h
+++ b/src/policy/hedging.h
@@ -15,7 +15,7 @@
 
 class Hedging {
  public:
-  enum class Outcome { Sent, TooManyErrors, NoEndpoint, SharedLateness, TooDeep, NotSuspect };
+  enum class Outcome { Sent, TooManyErrors, NoEndpoint, SharedLateness, TooDeep, EndpointNotSlow };
   // NotDue: an earlier timer of the same request. Recheck: nothing speaks against the endpoint yet.
   // Suppressed: no hedge is sent. Allowed: the hedge may go to an endpoint that passes accepts_target.
   enum class Decision { NotDue, Recheck, Suppressed, Allowed };
@@ -33,12 +33,12 @@
   void restore_lateness(std::deque<double> lateness);
 
   // Whether the last attempt of `request`, to `endpoint`, may have a hedge now. Lateness counts from
-  // `awake_since`: if this process was stalled, every attempt looks late.
-  Decision decide(const RequestState& request, const Endpoint& endpoint, double now, double awake_since);
+  // `last_stall_end`: if this process was stalled, every attempt looks late.
+  Decision decide(const RequestState& request, const Endpoint& endpoint, double now, double last_stall_end);
   // Whether `endpoint` may get the hedge: it is shallow enough, and without recent errors.
   bool accepts_target(const Endpoint& endpoint, double now);
   // Whether a further Recheck is worth a timer.
-  bool should_recheck(const RequestState& request, double now, double awake_since) const;
+  bool should_recheck(const RequestState& request, double now, double last_stall_end) const;
 
   void count(Outcome outcome) { ++counts_[static_cast<std::size_t>(outcome)]; }
   // The counts that are not 0, as ", name count" each.
@@ -47,7 +47,7 @@
  private:
   static constexpr std::size_t kOutcomeCount = 6;
 
-  double waited_s(const RequestState& request, double now, double awake_since) const;
+  double waited_s(const RequestState& request, double now, double last_stall_end) const;
 
   const Deployment& deployment_;
   const LatencyTracker& latencies_;
--- a/src/policy/periodic_work.cpp
+++ b/src/policy/periodic_work.cpp
@@ -1,5 +1,5 @@
-// Work that is done every tick: rates, priorities, the subset, ejections that end, requests that waited too
-// long.
+// The work of the tick timer: rates, priorities, discovery polls, the subset, the end of ejections, and
+// requests whose queue timeout is over.
 #include <algorithm>
 #include <string>
 
@@ -12,10 +12,11 @@
 
 constexpr double kStatisticsRetentionSeconds = 60;
 constexpr double kReportIntervalSeconds = 10;
-constexpr double kLostThresholds = 2;  // hedge thresholds after which an attempt no longer counts as load
-// Every so many ticks all tracked endpoints are maintained; else only the subset, as a look at each endpoint
-// costs.
-constexpr std::uint64_t kAllTrackedTicks = 5;
+// An attempt that is in flight for more hedge thresholds than this no longer counts as load.
+constexpr double kLostAttemptThresholds = 2;
+// All tracked endpoints are maintained every so many ticks, and only those of the subset in between, to save
+// CPU time.
+constexpr std::uint64_t kAllTrackedIntervalTicks = 5;
 
 bool is_healthy(const AttemptTarget& target) { return target.ejection.health == Health::Healthy; }
 
@@ -27,8 +28,8 @@
 
 void BackupRequestPolicy::on_tick() {
   start_tick_timer(CompletionRate::kTickSeconds);
-  bool is_new = now_ < started_at_ + ConcurrencyLimit::kStartSeconds;
-  fleet_load_.update(now_, is_new ? FleetLoad::Rates::New : FleetLoad::Rates::Known);
+  bool is_starting_up = now_ < started_at_ + ConcurrencyLimit::kStartupSeconds;
+  fleet_load_.update(now_, is_starting_up ? FleetLoad::Rates::New : FleetLoad::Rates::Known);
   if (deployment_.tier == 0 && prioritized_sequence_ != queue_.last_sequence()) {
     prioritized_sequence_ = queue_.last_sequence();
     priority_.update(now_);
@@ -36,22 +37,24 @@
   if (refresh_.begin_poll_if_due(now_)) {
     host_.poll_endpoint_list();
   }
-  refresh_.expire_poll(now_, random_);
+  refresh_.fail_overdue_poll(now_, random_);
   completions_.on_tick();
-  if (now_ >= next_second_at_) {
-    next_second_at_ = now_ + 1;
+  if (now_ >= next_per_second_work_at_) {
+    next_per_second_work_at_ = now_ + 1;
     release_unused_statistics();
     latencies_.sample_means();
   }
   maintain_endpoints(reselect_subset_if_due());
-  // Into the capacity that was released, before the requests past their queue deadline are given up.
+  // Maintenance may have released capacity. Queued requests get it before those past their queue deadline are
+  // rejected or failed.
   dispatch_queued_requests();
-  give_up_expired_requests();
+  reject_or_fail_expired_requests();
   dispatch_queued_requests();
   report_hedging();
 }
 
-// Both counts of the paper's diagnosis; one instance of a tier is enough to see them.
+// Logs how many hedges were sent and suppressed, the counts that the paper diagnoses hedging by. One instance
+// of each tier is enough.
 void BackupRequestPolicy::report_hedging() {
   if (now_ < next_report_at_ || deployment_.instance_index != 0) {
     return;
@@ -60,7 +63,8 @@
   host_.log("tier " + std::to_string(deployment_.tier) + hedging_.counts_text());
 }
 
-// Releases statistics of endpoints outside the subset that have been unused for kStatisticsRetentionSeconds.
+// Releases the statistics of healthy endpoints outside the subset that got no attempt for
+// kStatisticsRetentionSeconds.
 void BackupRequestPolicy::release_unused_statistics() {
   std::vector<EndpointIndex> unused;
   for (EndpointIndex index : endpoints_.tracked()) {
@@ -78,7 +82,7 @@
 
 BackupRequestPolicy::MaintenanceScope BackupRequestPolicy::reselect_subset_if_due() {
   ++tick_count_;
-  bool all_tracked = tick_count_ % kAllTrackedTicks == 0 || deployment_.responses_report_load;
+  bool all_tracked = tick_count_ % kAllTrackedIntervalTicks == 0 || deployment_.responses_report_load;
   bool is_due = all_tracked;
   if (!is_due) {
     is_due = subset_is_stale_;
@@ -91,7 +95,7 @@
 }
 
 void BackupRequestPolicy::maintain_endpoints(MaintenanceScope scope) {
-  TickFacts facts{warm_attempts_per_tick(), hedging_.is_lateness_shared()};
+  TickContext context{warm_attempts_per_tick(), hedging_.is_lateness_shared()};
   std::vector<EndpointIndex> maintained = subset_.members();
   if (scope == MaintenanceScope::AllTracked) {
     const std::set<EndpointIndex>& tracked = endpoints_.tracked();
@@ -100,7 +104,7 @@
     maintained.erase(std::unique(maintained.begin(), maintained.end()), maintained.end());
   }
   for (EndpointIndex index : maintained) {
-    maintain_endpoint(endpoints_[index], facts);
+    maintain_endpoint(endpoints_[index], context);
   }
   if (std::optional<EndpointIndex> recovering = ejection_.select_early_recovery(now_)) {
     Endpoint& endpoint = endpoints_[*recovering];
@@ -108,9 +112,9 @@
   }
 }
 
-// What a warm endpoint gets in a tick for each unit of weight; where none is warm, one attempt a second for
-// all instances that share the endpoint. Imported rates count fully only after a while, as the earlier
-// process may still run.
+// The attempts that a warm endpoint gets in a tick for each unit of weight, and at least one attempt a second
+// divided among the instances that share an endpoint. Imported completion rates count fully only after one
+// window, as the process that they come from may still be sending.
 double BackupRequestPolicy::warm_attempts_per_tick() const {
   double warm_weight = 0;
   for (EndpointIndex index : subset_.members()) {
@@ -119,15 +123,15 @@
       warm_weight += subset_.own_weight(index);
     }
   }
-  double known_share = std::clamp((now_ - imported_at_) / CompletionRate::kWindowSeconds, 0.0, 1.0);
-  double requests_per_s = completions_.recent_per_s() * known_share;
+  double trusted_share = std::clamp((now_ - imported_at_) / CompletionRate::kWindowSeconds, 0.0, 1.0);
+  double requests_per_s = completions_.recent_per_s() * trusted_share;
   double by_rate = warm_weight > 0 ? requests_per_s * CompletionRate::kTickSeconds / warm_weight : 0;
   return std::max(by_rate, CompletionRate::kTickSeconds / subset_.sharing_instances());
 }
 
-void BackupRequestPolicy::maintain_endpoint(Endpoint& endpoint, const TickFacts& facts) {
+void BackupRequestPolicy::maintain_endpoint(Endpoint& endpoint, const TickContext& context) {
   if (slow_start_.is_starting(endpoint, now_)) {
-    SlowStart::Refill refill{CompletionRate::kTickSeconds, facts.warm_attempts,
+    SlowStart::Refill refill{CompletionRate::kTickSeconds, context.warm_attempts,
                              subset_.own_weight(endpoint.index), subset_.sharing_instances()};
     slow_start_.refill(endpoint, refill, now_);
   }
@@ -137,34 +141,36 @@
   if (now_ >= endpoint.whole.ejection.ejected_until) {
     apply_event(endpoint, endpoint.whole, HealthEvent::EjectionEnded);
   }
-  if (!facts.lateness_is_shared) {
+  if (!context.lateness_is_shared) {
     release_lost_requests(endpoint);
   }
-  if (ejection_.is_unresponsive(endpoint.whole, now_, awake_since_)) {
+  if (ejection_.is_unresponsive(endpoint.whole, now_, last_stall_end_)) {
     on_failure(endpoint, std::nullopt);
   }
   for (std::size_t class_index = 0; class_index < endpoint.by_class.size(); ++class_index) {
-    maintain_class(endpoint, class_index, facts);
+    maintain_class(endpoint, class_index, context);
   }
 }
 
 void BackupRequestPolicy::maintain_class(Endpoint& endpoint, std::size_t class_index,
-                                         const TickFacts& facts) {
+                                         const TickContext& context) {
   AttemptTarget& target = endpoint.by_class[class_index];
   if (now_ >= target.ejection.ejected_until) {
     apply_event(endpoint, target, HealthEvent::EjectionEnded);
   }
-  bool is_own_fault = deployment_.last_tier && !facts.lateness_is_shared;
-  if (is_own_fault && ejection_.is_unresponsive(target, now_, awake_since_)) {
+  // Otherwise the tier behind the endpoint, or a cause common to all endpoints, may be at fault.
+  bool may_be_at_fault = deployment_.last_tier && !context.lateness_is_shared;
+  if (may_be_at_fault && ejection_.is_unresponsive(target, now_, last_stall_end_)) {
     on_failure(endpoint, class_index);
   }
 }
 
-// A request that is lost with its connection, rather than late, would take capacity until its deadline.
+// An attempt whose connection was lost unnoticed would otherwise take capacity until the deadline of its
+// request.
 void BackupRequestPolicy::release_lost_requests(const Endpoint& endpoint) {
   for (const InFlightAttempt& attempt : endpoint.whole.in_flight) {
     double threshold_s = latencies_.hedge_threshold_s(attempt.class_index);
-    if (now_ - attempt.sent_at > kLostThresholds * threshold_s) {
+    if (now_ - attempt.sent_at > kLostAttemptThresholds * threshold_s) {
       limit_.release(requests_.at(attempt.request));
     }
   }
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -1,4 +1,4 @@
-// What the policy knows of a pending request. BackupRequestPolicy owns these records.
+// The state of a pending request and its attempts. BackupRequestPolicy owns these records.
 #pragma once
 
 #include <algorithm>
@@ -12,22 +12,24 @@
 
 namespace puffinvane {
 
-// Queued: no attempt in flight, waits for capacity. InFlight: one attempt. Hedged: an attempt and its hedge.
+// Queued: waits for capacity, with no attempt in flight. InFlight: one attempt is in flight. Hedged: an
+// attempt and its hedge are in flight. Finished: it was delivered, rejected, failed or cancelled; attempts
+// that are still in flight have no effect on it.
 enum class RequestPhase { Queued, InFlight, Hedged, Finished };
 
-// One time that a request was sent to an endpoint.
+// One sending of a request to an endpoint.
 struct Attempt {
   EndpointIndex endpoint{};
-  int depth = 0;  // at the endpoint when it was sent, itself included
+  int depth = 0;  // effective_depth of the endpoint when it was sent, plus one for this attempt
   double sent_at = 0;
   bool is_in_flight = true;
-  bool may_have_run = true;
-  // Kept here, as the endpoint's slot may be another's when the attempt ends.
+  bool may_have_run = true;  // false if its outcome shows that the endpoint did not run the request
+  // Copies of the endpoint's values: its slot may hold another endpoint when the attempt ends.
   std::string zone;
   std::int64_t cell = 0;
 };
 
-// The order of queued requests: lowest rank first, then first come.
+// The order of queued requests: lowest rank first; within a rank, in the order of arrival.
 struct QueuePosition {
   double rank = 0;
   std::uint64_t sequence = 0;
@@ -40,22 +42,24 @@
 struct RequestState {
   RequestId id = 0;
   std::size_t class_index = 0;
-  std::vector<std::size_t> services;  // indexes in ClassPriority: its request class, and its tenant if known
+  // Indexes in ClassPriority: the request class, and the tenant if it is configured.
+  std::vector<std::size_t> services;
   RequestPhase phase = RequestPhase::Queued;
   bool is_over_quota = false;
-  double deadline = 0;
-  double queue_deadline = 0;
+  double deadline = 0;        // of the client
+  double queue_deadline = 0;  // when the queue timeout ends
   QueuePosition queue_position;
   double priority_percentile = 0;  // share of recent requests that rank behind it
-  double capacity_draw = 0;    // random, in [0, 1): whether it is admitted where a fraction of a request fits
-  double work_ratio = 1;       // its work against a quarter of its latency objective, at least 1
-  double work_s = 0;           // as announced, 0: unknown
-  std::uint64_t key_hash = 0;  // 0: no key that counts
-  bool counts_as_load = false;  // in ConcurrencyLimit, with the weights below
-  double load_weight = 0;
-  double calm_load_weight = 0;
+  // Random, in [0, 1): decides whether it is admitted where the limit leaves room for a part of a request.
+  double capacity_draw = 0;
+  double work_ratio = 1;        // its work as a multiple of a quarter of its latency objective, 1 to 4
+  double work_s = 0;            // expected work in seconds of a standard core; 0: unknown
+  std::uint64_t key_hash = 0;   // 0: no key, or endpoints have no key affinity
+  bool counts_as_load = false;  // whether ConcurrencyLimit counts it, with the two weights below
+  double load_weight = 0;       // against the recent completion rate
+  double calm_load_weight = 0;  // against the best completion rate
   std::vector<Attempt> attempts;
-  std::optional<EndpointIndex> hedge_target;  // set when a hedge is due
+  std::optional<EndpointIndex> hedge_target;  // set before HedgeDue is applied
 };
 
 inline bool has_attempted(const RequestState& request, EndpointIndex endpoint) {
--- a/src/policy/request_transitions.cpp
+++ b/src/policy/request_transitions.cpp
@@ -1,5 +1,5 @@
-// Requests: their table of transitions with its effects, dispatch from the queue, and what follows a lost
-// attempt.
+// The state machine of requests and its effects, dispatch from the queue, and the choice between retry,
+// reject and fail after a lost attempt.
 #include <algorithm>
 #include <array>
 
@@ -19,8 +19,8 @@
     {RequestPhase::InFlight, RequestEvent::Reject, RequestPhase::Finished, &BackupRequestPolicy::reject},
     {RequestPhase::InFlight, RequestEvent::Fail, RequestPhase::Finished, &BackupRequestPolicy::fail},
     {RequestPhase::InFlight, RequestEvent::Concluded, RequestPhase::Finished, &BackupRequestPolicy::finish},
-    {RequestPhase::Hedged, RequestEvent::HedgeLost, RequestPhase::InFlight,
-     &BackupRequestPolicy::keep_waiting},
+    {RequestPhase::Hedged, RequestEvent::OneAttemptLost, RequestPhase::InFlight,
+     &BackupRequestPolicy::await_remaining_attempt},
     {RequestPhase::Hedged, RequestEvent::Reject, RequestPhase::Finished, &BackupRequestPolicy::reject},
     {RequestPhase::Hedged, RequestEvent::Fail, RequestPhase::Finished, &BackupRequestPolicy::fail},
     {RequestPhase::Hedged, RequestEvent::Concluded, RequestPhase::Finished, &BackupRequestPolicy::finish},
@@ -47,11 +47,12 @@
 }
 
 void BackupRequestPolicy::reject(RequestState& request) {
-  constexpr double kWaitShare = 0.25;  // of the latency objective
-  double longest_s = deployment_.max_retry_after_s;
-  double wait_s = request.is_over_quota ? longest_s : class_of(request).latency_objective_s * kWaitShare;
+  constexpr double kRetryAfterShare = 0.25;  // of the latency objective
+  double max_s = deployment_.max_retry_after_s;
+  double retry_after_s =
+      request.is_over_quota ? max_s : class_of(request).latency_objective_s * kRetryAfterShare;
   priority_.record_outcome(request, ServiceStatistics::Result::NotOnTime, now_);
-  host_.reject_request(request.id, deployment_.sends_retry_after ? std::min(wait_s, longest_s) : 0);
+  host_.reject_request(request.id, deployment_.sends_retry_after ? std::min(retry_after_s, max_s) : 0);
   finish(request);
 }
 
@@ -96,19 +97,19 @@
   host_.start_attempt(request.id, endpoint.name, 0);
   bool may_hedge = class_of(request).idempotency == Idempotency::Safe && deployment_.parallel_attempts;
   if (may_hedge && request.phase == RequestPhase::InFlight) {
-    start_attempt_timer(request, latencies_.hedge_threshold_s(request.class_index));
+    start_hedge_timer(request, latencies_.hedge_threshold_s(request.class_index));
   }
 }
 
-void BackupRequestPolicy::start_attempt_timer(const RequestState& request, double delay_s) {
+void BackupRequestPolicy::start_hedge_timer(const RequestState& request, double delay_s) {
   host_.schedule_timer(now_ + delay_s, hedge_timer(request.id));
 }
 
 void BackupRequestPolicy::consider_hedge(RequestState& request) {
   const Endpoint& late_endpoint = endpoints_[request.attempts.back().endpoint];
-  Hedging::Decision decision = hedging_.decide(request, late_endpoint, now_, awake_since_);
-  if (decision == Hedging::Decision::Recheck && hedging_.should_recheck(request, now_, awake_since_)) {
-    start_attempt_timer(request, latencies_.hedge_threshold_s(request.class_index));
+  Hedging::Decision decision = hedging_.decide(request, late_endpoint, now_, last_stall_end_);
+  if (decision == Hedging::Decision::Recheck && hedging_.should_recheck(request, now_, last_stall_end_)) {
+    start_hedge_timer(request, latencies_.hedge_threshold_s(request.class_index));
   }
   if (decision != Hedging::Decision::Allowed) {
     return;
@@ -127,12 +128,13 @@
   if (queue_.empty()) {
     return;
   }
-  // Request classes for which no endpoint accepts a first attempt: other requests of them need not look
-  // again.
+  // Classes without an endpoint that accepts a first attempt: no endpoint is selected for their other
+  // requests.
   std::vector<bool> class_is_blocked(latencies_.class_count(), false);
   for (auto next = queue_.begin(); next != queue_.end();) {
     RequestState& request = requests_.at(next->second);
     bool has_capacity = has_capacity_for(request);
+    // A request of an isolated service has a limit of its own: requests behind it may still have capacity.
     if (!has_capacity && !priority_.isolated_service(request)) {
       break;
     }
@@ -152,13 +154,13 @@
   }
 }
 
-void BackupRequestPolicy::give_up_expired_requests() {
+void BackupRequestPolicy::reject_or_fail_expired_requests() {
   for (auto next = queue_.begin(); next != queue_.end();) {
     auto found = requests_.find(next->second);
-    ++next;  // an event removes the present entry
+    ++next;  // applying the event below removes this entry from the queue
     RequestState& request = found->second;
     if (now_ >= request.queue_deadline) {
-      apply_event(request, give_up_event(request));
+      apply_event(request, reject_or_fail_event(request));
       erase_if_complete(found);
     }
   }
@@ -166,15 +168,16 @@
 
 BackupRequestPolicy::RequestEvent BackupRequestPolicy::event_after_loss(const RequestState& request) const {
   if (request.phase == RequestPhase::Hedged) {
-    return RequestEvent::HedgeLost;
+    return RequestEvent::OneAttemptLost;
   }
-  if (RetrySafety::is_suspect(request) || !selection_.has_retry_target(request, now_)) {
-    return give_up_event(request);
+  if (RetrySafety::is_possible_poison_request(request) || !selection_.has_retry_target(request, now_)) {
+    return reject_or_fail_event(request);
   }
   return RequestEvent::Retry;
 }
 
-BackupRequestPolicy::RequestEvent BackupRequestPolicy::give_up_event(const RequestState& request) const {
+BackupRequestPolicy::RequestEvent BackupRequestPolicy::reject_or_fail_event(
+    const RequestState& request) const {
   return retry_safety_.may_reject(request) ? RequestEvent::Reject : RequestEvent::Fail;
 }
 
--- a/src/policy/retry_safety.cpp
+++ b/src/policy/retry_safety.cpp
@@ -51,12 +51,12 @@
 
 bool RetrySafety::may_reject(const RequestState& request) const {
   const RequestClass& request_class = class_of(request);
-  bool is_keyed_everywhere =
+  bool is_keyed_at_all_endpoints =
       request_class.idempotency == Idempotency::Keyed && request_class.group == Group::All;
-  return is_keyed_everywhere || request_class.idempotency == Idempotency::Safe || cannot_have_run(request);
+  return is_keyed_at_all_endpoints || request_class.idempotency == Idempotency::Safe || cannot_have_run(request);
 }
 
-bool RetrySafety::is_suspect(const RequestState& request) {
+bool RetrySafety::is_possible_poison_request(const RequestState& request) {
   return std::ranges::count_if(request.attempts, &Attempt::may_have_run) > 1;
 }
 
--- a/src/policy/retry_safety.h
+++ b/src/policy/retry_safety.h
@@ -18,7 +18,7 @@
   // Whether it may be rejected, which promises that sending it again does no harm.
   bool may_reject(const RequestState& request) const;
   // Whether two attempts were lost that may have run: the request may be what breaks its endpoints.
-  static bool is_suspect(const RequestState& request);
+  static bool is_possible_poison_request(const RequestState& request);
 
  private:
   static bool cannot_have_run(const RequestState& request);
--- a/src/policy/retry_safety_test.cpp
+++ b/src/policy/retry_safety_test.cpp
@@ -112,11 +112,11 @@
 
 TEST_F(RetrySafetyTest, TwoLostAttemptsThatMayHaveRunAreSuspect) {
   RequestState request = lost(kSafe);
-  EXPECT_FALSE(RetrySafety::is_suspect(request));
+  EXPECT_FALSE(RetrySafety::is_possible_poison_request(request));
 
   request.attempts.push_back(request.attempts.front());
 
-  EXPECT_TRUE(RetrySafety::is_suspect(request));
+  EXPECT_TRUE(RetrySafety::is_possible_poison_request(request));
 }
 
 }  // namespace
--- a/src/policy/timer_token.h
+++ b/src/policy/timer_token.h
@@ -1,4 +1,5 @@
-// The tokens of the policy's timers: what a timer is for, and which request's.
+// Tokens of the policy's timers. A token holds the kind of the timer, as one of the bits above the lower 32,
+// and, except for the tick timer, the id of its request in the lower 32 bits.
 #pragma once
 
 #include <cstdint>
