--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -10,18 +10,20 @@
 
 namespace {
 
-// Figures of the paper: the bound on depth as a share of the capacity, and the error ratio of an endpoint.
+// From the paper: the depth bound, as a share of the learned capacity, and the error ratio from which an
+// endpoint gets no hedge.
 constexpr double kMaxDepthShare = 0.85;
 constexpr double kMaxErrorRatio = 0.01;
-constexpr std::size_t kLatenessLimit = 40;
-constexpr double kSharedLatenessShare = 0.25;
-constexpr double kSlowEndpointThreshold = 1.5;      // times calm
-constexpr double kGraceThresholds = 2;  // that an endpoint with nothing against it has
-constexpr double kMaxRecheckThresholds = 4;    // after which no further recheck is made
+constexpr std::size_t kLatenessLimit = 40;      // requests whose lateness is kept
+constexpr double kSharedLatenessShare = 0.25;   // of them late: more is a shared cause
+constexpr double kSlowEndpointThreshold = 1.5;  // slowness, in calm latencies, from which an endpoint is slow
+constexpr double kGraceThresholds = 2;          // hedge thresholds that an endpoint which isn't slow may take
+constexpr double kMaxRecheckThresholds = 4;     // hedge thresholds after which no recheck is made
 
-// By Outcome, in the order in which the log has them.
-constexpr std::array<std::string_view, 6> kOutcomeNames = {
-    "copies sent", "errors", "no endpoint", "shared lateness", "suppressed by depth", "weight"};
+// Names of the counts in the log, by Outcome.
+constexpr std::array<std::string_view, 6> kOutcomeNames = {"hedges sent",         "target errors",
+                                                           "no target",           "shared lateness",
+                                                           "suppressed by depth", "endpoint not slow"};
 
 }  // namespace
 
@@ -48,12 +50,13 @@
   if (waited < threshold_s - deployment_.round_trip_s) {
     return Decision::NotDue;
   }
-  // A heavy request is late anywhere, and its hedge would double the heaviest work on every tier behind. An
-  // endpoint that has responded to a later attempt is believed, and one with nothing against it gets another
-  // threshold.
+  // A request with much work is late at any endpoint, and a hedge would double its work on every tier behind.
+  // The lateness is therefore not held against an endpoint that isn't slow if it has responded since the
+  // attempt was sent, or until a second hedge threshold has passed.
   bool has_responded_since = endpoint.whole.responses.last_response_at() > attempt.sent_at;
   bool is_within_grace = waited < kGraceThresholds * threshold_s;
-  if (endpoint.whole.responses.slowness(now) < kSlowEndpointThreshold && (has_responded_since || is_within_grace)) {
+  if (endpoint.whole.responses.slowness(now) < kSlowEndpointThreshold &&
+      (has_responded_since || is_within_grace)) {
     count(Outcome::EndpointNotSlow);
     return Decision::Recheck;
   }
--- a/src/policy/hedging_test.cpp
+++ b/src/policy/hedging_test.cpp
@@ -103,7 +103,7 @@
   endpoint_.whole.responses.record_sample(failed);
 
   EXPECT_FALSE(hedging_.accepts_target(endpoint_, 101));
-  EXPECT_EQ(hedging_.counts_text(), ", errors 1");
+  EXPECT_EQ(hedging_.counts_text(), ", target errors 1");
 }
 
 TEST_F(HedgingTest, RechecksUpToFourThresholds) {
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -1,4 +1,5 @@
-// Requests that wait for capacity, by rank. It does not decide who is dispatched or given up.
+// The queue of requests that wait for capacity, in the order of their rank. It does not decide which requests
+// are dispatched, rejected or failed.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +17,8 @@
   using Entries = std::map<QueuePosition, RequestId>;
   using Iterator = Entries::iterator;
 
-  // The rank of a retry: ahead of all others, as its client has waited longest and work may be spent on it.
+  // Rank of a retry: ahead of all first attempts, as its client has waited longest and an endpoint may have
+  // spent work on it already.
   static constexpr double kRetryRank = -1e9;
 
   QueuePosition enqueue(RequestId request, double rank) {
@@ -33,16 +35,16 @@
   std::size_t count_ahead_of(const QueuePosition& position) const {
     return std::size_t(std::distance(entries_.begin(), entries_.find(position)));
   }
-  // How many requests were ever enqueued.
+  // The number of requests enqueued so far, which is the sequence number of the last one.
   std::uint64_t last_sequence() const { return last_sequence_; }
 
-  // How long a request may be queued, in seconds: as long as a calm attempt would still end well within its
-  // latency objective.
+  // The queue timeout: a request that is sent at its end, to endpoints with calm latency, still completes
+  // well within its latency objective.
   static double timeout_s(double latency_objective_s, double calm_latency_s) {
-    constexpr double kShortestShare = 0.2;
-    constexpr double kLongestShare = 0.8;
-    return std::max(kShortestShare * latency_objective_s,
-                    kLongestShare * latency_objective_s - 2 * calm_latency_s);
+    constexpr double kMinObjectiveShare = 0.2;
+    constexpr double kMaxObjectiveShare = 0.8;
+    return std::max(kMinObjectiveShare * latency_objective_s,
+                    kMaxObjectiveShare * latency_objective_s - 2 * calm_latency_s);
   }
 
  private:
--- a/src/policy/retry_safety.cpp
+++ b/src/policy/retry_safety.cpp
@@ -32,7 +32,7 @@
 
 bool RetrySafety::is_in_idempotency_scope(const RequestClass& request_class, const Attempt& earlier,
                                           const Endpoint& endpoint, double now) const {
-  // An attempt on a new connection may be written as late as that comes up.
+  // On a new connection, the attempt may be written as late as the connect timeout from now.
   double window_end = earlier.sent_at + request_class.idempotency_window_s - deployment_.connect_timeout_s;
   if (now > window_end - 2 * deployment_.round_trip_s) {
     return false;
@@ -53,7 +53,8 @@
   const RequestClass& request_class = class_of(request);
   bool is_keyed_at_all_endpoints =
       request_class.idempotency == Idempotency::Keyed && request_class.group == Group::All;
-  return is_keyed_at_all_endpoints || request_class.idempotency == Idempotency::Safe || cannot_have_run(request);
+  return is_keyed_at_all_endpoints || request_class.idempotency == Idempotency::Safe ||
+         cannot_have_run(request);
 }
 
 bool RetrySafety::is_possible_poison_request(const RequestState& request) {
