--- a/src/policy/class_priority.cpp
+++ b/src/policy/class_priority.cpp
@@ -10,11 +10,15 @@
 
 constexpr std::size_t kArrivalLimit = 128;
 constexpr std::size_t kOutcomeLimit = 32;
-constexpr double kOutcomeMaxAgeSeconds = 5;  // without recent outcomes the next request is a test
-constexpr double kPriorOutcomes = 3;    // on time, counted in so that a few outcomes don't swing the ratio
-constexpr double kIsolatedRatio = 0.3;  // a service below this is isolated ...
-constexpr double kServedRatio = 0.8;    // ... while another one is above this
-constexpr double kTieBreakSpan = 1e-3;  // far below the difference of two ranks
+// Outcomes older than this do not count, so that an isolated service is tried again.
+constexpr double kOutcomeMaxAgeSeconds = 5;
+// Outcomes on time that are added to the recent ones, so that a few outcomes don't swing the success ratio.
+constexpr double kPriorOutcomes = 3;
+// A service is isolated if its success ratio is below kIsolatedRatio while that of another one is above
+// kServedRatio.
+constexpr double kIsolatedRatio = 0.3;
+constexpr double kServedRatio = 0.8;
+constexpr double kTieBreakSpan = 1e-3;  // far less than the difference between two ranks
 
 double count_of(const std::deque<std::size_t>& arrivals, std::size_t service) {
   return double(std::count(arrivals.begin(), arrivals.end(), service));
@@ -45,9 +49,9 @@
 
 bool ClassPriority::draw_over_quota(std::size_t service, double fleet_requests_per_s, Random& random) const {
   double draw = random.uniform();
-  double requests_per_s =
+  double drawn_requests_per_s =
       draw * count_of(tenant_arrivals_, service) / double(tenant_arrivals_.size()) * fleet_requests_per_s;
-  return requests_per_s > deployment_.tenants[service - class_count()].quota_per_s;
+  return drawn_requests_per_s > deployment_.tenants[service - class_count()].quota_per_s;
 }
 
 double ClassPriority::rank_of(const RequestState& request) const {
@@ -89,6 +93,8 @@
     best_ratio = std::max(best_ratio, statistics.success_ratio);
     if (is_class(service)) {
       double weight = deployment_.request_classes[service].priority_weight;
+      // A weight that counts by work is per unit of work already. Otherwise the calm latency stands for the
+      // work.
       double work = deployment_.priority_by_work ? 1 : latencies_.calm_latency_s(service);
       statistics.value_rate = statistics.success_ratio * weight / work;
     }
--- a/src/policy/class_priority.h
+++ b/src/policy/class_priority.h
@@ -1,5 +1,5 @@
-// How request classes and tenants are served, and what follows for the order of requests: rank, quota, and
-// which class or tenant is slow by itself.
+// Measures how well request classes and tenants are served, and derives from it the rank of requests in the
+// queue, which requests are over quota, and which class or tenant is isolated because it alone is slow.
 #pragma once
 
 #include <cstddef>
@@ -21,38 +21,39 @@
     double ended_at = 0;
     Result result = Result::NotOnTime;
   };
-  std::deque<Outcome> outcomes;  // of requests that had an attempt
-  double traffic_share = 0;      // of recent requests
-  double success_ratio = 1;      // of recent outcomes
-  double value_rate = 0;         // of a request class: what serving it counts, for the work it takes
-  bool is_isolated = false;      // late everywhere while others come in time
+  std::deque<Outcome> outcomes;  // of the last requests that had an attempt
+  double traffic_share = 0;      // share of recent requests that are of this service
+  double success_ratio = 1;      // share of recent outcomes that were on time
+  double value_rate = 0;     // only of a request class: priority weight that is served for each unit of work
+  bool is_isolated = false;  // rarely on time, while another service usually is
 };
 
 class ClassPriority {
  public:
   ClassPriority(const Deployment& deployment, const LatencyTracker& latencies);
 
-  // Services: the request classes in their order, then the tenants in theirs.
+  // The request classes in the order of the settings, then the tenants in theirs.
   const std::vector<ServiceStatistics>& services() const { return services_; }
   std::size_t class_count() const { return latencies_.class_count(); }
 
-  // The service of a tenant, nothing if the name is not in the settings.
+  // The index of a tenant in services(); nothing if the settings don't have the tenant.
   std::optional<std::size_t> find_tenant(std::string_view name) const;
   void record_class_arrival(std::size_t class_index);
   void record_tenant_arrival(std::size_t service);
-  // Whether one request of the tenant is beyond its quota, drawn in proportion to the excess.
-  // `fleet_requests_per_s` is the rate of all instances together: their mix of tenants is alike.
+  // Draws at random whether a request of the tenant is over quota, more often the further the tenant exceeds
+  // its quota. `fleet_requests_per_s` is the rate of all instances together; they are assumed to have the
+  // same mix of tenants.
   bool draw_over_quota(std::size_t service, double fleet_requests_per_s, Random& random) const;
 
-  // Sort key for the queue: tenants over quota come last, then lower value per unit of work.
+  // Sort key of the queue, lowest first: by falling value rate, and requests over quota last.
   double rank_of(const RequestState& request) const;
-  // The share of recent requests that rank behind `rank`, with ties broken by `random`.
+  // The share of recent requests that rank behind `rank`; `random` breaks ties.
   double priority_percentile(double rank, Random& random);
 
   void record_outcome(const RequestState& request, ServiceStatistics::Result result, double now);
-  // Works the statistics out again from recent outcomes and arrivals.
+  // Computes the statistics of all services from recent outcomes and arrivals.
   void update(double now);
-  // The service of the request that is served apart from the others, if one is.
+  // The isolated service, if any, among the class and the tenant of `request`.
   std::optional<std::size_t> isolated_service(const RequestState& request) const;
 
  private:
@@ -63,9 +64,10 @@
   const Deployment& deployment_;
   const LatencyTracker& latencies_;
   std::vector<ServiceStatistics> services_;
-  std::deque<std::size_t> class_arrivals_;   // request classes of the last requests
-  std::deque<std::size_t> tenant_arrivals_;  // services of the last requests with a known tenant
-  std::deque<double> ranks_;                 // of the last requests
+  std::deque<std::size_t> class_arrivals_;  // services of the last requests: their request classes
+  std::deque<std::size_t>
+      tenant_arrivals_;       // services of the last requests of configured tenants: the tenants
+  std::deque<double> ranks_;  // of the last requests, where responses report load
 };
 
 }  // namespace puffinvane
--- a/src/policy/class_priority_behavior_test.cpp
+++ b/src/policy/class_priority_behavior_test.cpp
@@ -1,5 +1,5 @@
-// Which requests go first and which are shed: by tenant quota, by what serving a class counts, and by how a
-// class or tenant is served.
+// Which requests are sent first and which are rejected: by tenant quota, by the priority weight of the class,
+// and by how well a class or tenant is served.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -55,14 +55,14 @@
   EXPECT_EQ(host.failed().size(), 0U);
 }
 
-struct Service {
+struct SendCounts {
   int others_not_sent = 0;  // requests of class "read" and tenant "fast" without an attempt after 0.02 s
-  int slow_sent = 0;        // slow requests that were sent at once
+  int slow_sent = 0;        // slow requests that were sent as soon as they were received
 };
 
-// Serves pairs of a slow request, which takes 1.5 s at every endpoint, and one of class "read" and tenant
-// "fast"; counts the second 200 pairs.
-Service serve_beside_slow_requests(const RequestBuilder& slow_request) {
+// Serves 400 pairs of requests: `slow_request`, which takes 1.5 s at every endpoint, and one of class "read"
+// and tenant "fast". Returns the counts of the last 200 pairs.
+SendCounts serve_beside_slow_requests(const RequestBuilder& slow_request) {
   constexpr int kPairs = 400;
   constexpr double kSlowResponseS = 1.5;
   constexpr double kResponseS = 0.01;
@@ -71,15 +71,15 @@
   host.serve_requests(100, 0.02);
   std::set<RequestId> slow;
   std::size_t first = host.sent().size();
-  Service service;
+  SendCounts counts;
   for (int i = 0; i < kPairs; ++i) {
-    bool counts = i >= kPairs / 2;
+    bool is_counted = i >= kPairs / 2;
     RequestId slow_id = host.receive(slow_request);
     slow.insert(slow_id);
-    if (counts && host.attempt_count(slow_id) > 0) ++service.slow_sent;
+    if (is_counted && host.attempt_count(slow_id) > 0) ++counts.slow_sent;
     RequestId other = host.receive(request_of_class("read").due_in(4).for_tenant("fast"));
     host.run_for(0.02);
-    if (counts && host.attempt_count(other) == 0) ++service.others_not_sent;
+    if (is_counted && host.attempt_count(other) == 0) ++counts.others_not_sent;
     for (std::size_t k = first; k < host.sent().size(); ++k) {
       SentAttempt attempt = host.sent()[k];
       double response_time_s = slow.contains(attempt.request) ? kSlowResponseS : kResponseS;
@@ -87,22 +87,23 @@
       if (is_due && !host.is_concluded(attempt.request)) host.end_attempt(attempt, Outcome::Delivered);
     }
   }
-  return service;
+  return counts;
 }
 
-// What is slow at every endpoint is neither their fault nor overload: it gets a part of the capacity.
+// Requests that are slow at every endpoint show neither a fault of the endpoints nor an overload. Their class
+// or tenant is isolated and gets a limited part of the capacity.
 TEST(ClassPriority, ClassThatIsSlowEverywhereLeavesOthersTheirCapacity) {
-  Service service = serve_beside_slow_requests(request_of_class("tagged").due_in(3).for_tenant("fast"));
+  SendCounts counts = serve_beside_slow_requests(request_of_class("tagged").due_in(3).for_tenant("fast"));
 
-  EXPECT_LT(service.others_not_sent, 10);
-  EXPECT_LT(service.slow_sent, 100);
+  EXPECT_LT(counts.others_not_sent, 10);
+  EXPECT_LT(counts.slow_sent, 100);
 }
 
 TEST(ClassPriority, TenantThatIsSlowEverywhereLeavesOthersTheirCapacity) {
-  Service service = serve_beside_slow_requests(request_of_class("read").due_in(3).for_tenant("slow"));
+  SendCounts counts = serve_beside_slow_requests(request_of_class("read").due_in(3).for_tenant("slow"));
 
-  EXPECT_LT(service.others_not_sent, 10);
-  EXPECT_LT(service.slow_sent, 100);
+  EXPECT_LT(counts.others_not_sent, 10);
+  EXPECT_LT(counts.slow_sent, 100);
 }
 
 }  // namespace
--- a/src/policy/class_priority_test.cpp
+++ b/src/policy/class_priority_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kRead = 0;
-constexpr std::size_t kMutating = 4;  // of 8 times the priority weight
+constexpr std::size_t kMutating = 4;  // has 8 times the priority weight of kRead
 constexpr double kNow = 100;
 
 class ClassPriorityTest : public testing::Test {
@@ -33,7 +33,7 @@
   Random random_{3};
 };
 
-TEST_F(ClassPriorityTest, TenantsFollowTheRequestClasses) {
+TEST_F(ClassPriorityTest, TenantsComeAfterRequestClasses) {
   EXPECT_EQ(priority_.find_tenant("basic"), deployment_.request_classes.size());
   EXPECT_EQ(priority_.find_tenant("unknown"), std::nullopt);
 }
@@ -44,7 +44,7 @@
   EXPECT_LT(priority_.rank_of(request_of(kMutating)), priority_.rank_of(request_of(kRead)));
 }
 
-TEST_F(ClassPriorityTest, RanksOverQuotaLast) {
+TEST_F(ClassPriorityTest, RanksRequestsOverQuotaLast) {
   priority_.update(kNow);
   RequestState over_quota = request_of(kMutating);
   over_quota.is_over_quota = true;
@@ -52,7 +52,7 @@
   EXPECT_GT(priority_.rank_of(over_quota), priority_.rank_of(request_of(kRead)));
 }
 
-TEST_F(ClassPriorityTest, RanksAClassLowerThatIsServedLate) {
+TEST_F(ClassPriorityTest, RanksClassThatIsServedLateFurtherBack) {
   priority_.update(kNow);
   double rank_before = priority_.rank_of(request_of(kRead));
 
@@ -62,7 +62,7 @@
   EXPECT_GT(priority_.rank_of(request_of(kRead)), rank_before);
 }
 
-TEST_F(ClassPriorityTest, NeverDrawsOverQuotaBelowIt) {
+TEST_F(ClassPriorityTest, NeverDrawsOverQuotaForTenantBelowItsQuota) {
   std::size_t tenant = *priority_.find_tenant("basic");
   priority_.record_tenant_arrival(tenant);
 
@@ -71,20 +71,20 @@
   }
 }
 
-TEST_F(ClassPriorityTest, DrawsTheExcessOverQuota) {
+TEST_F(ClassPriorityTest, DrawsOverQuotaInProportionToTheExcess) {
   std::size_t tenant = *priority_.find_tenant("basic");
   priority_.record_tenant_arrival(tenant);
-  int over = 0;
+  int over_quota = 0;
 
   for (int draw = 0; draw < 1000; ++draw) {
-    over += priority_.draw_over_quota(tenant, 40, random_) ? 1 : 0;
+    over_quota += priority_.draw_over_quota(tenant, 40, random_) ? 1 : 0;
   }
 
-  // 30 of 40 requests a second are over the quota; 5 standard deviations of 1,000 draws are 68.
-  EXPECT_NEAR(over, 750, 68);
+  // 30 of 40 requests a second are over quota. The tolerance is 5 standard deviations of 1,000 draws.
+  EXPECT_NEAR(over_quota, 750, 68);
 }
 
-TEST_F(ClassPriorityTest, IsolatesAClassThatAloneIsLate) {
+TEST_F(ClassPriorityTest, IsolatesClassThatAloneIsLate) {
   record(kRead, ServiceStatistics::Result::NotOnTime, 10);
   record(kMutating, ServiceStatistics::Result::OnTime, 10);
 
@@ -104,7 +104,7 @@
   EXPECT_EQ(priority_.isolated_service(request_of(kRead)), std::nullopt);
 }
 
-TEST_F(ClassPriorityTest, TriesAnIsolatedClassAgainAfterFiveSeconds) {
+TEST_F(ClassPriorityTest, EndsIsolationAfterFiveSecondsWithoutOutcomes) {
   record(kRead, ServiceStatistics::Result::NotOnTime, 10);
   priority_.update(kNow);
   ASSERT_EQ(priority_.isolated_service(request_of(kRead)), kRead);
@@ -114,7 +114,7 @@
   EXPECT_EQ(priority_.isolated_service(request_of(kRead)), std::nullopt);
 }
 
-TEST_F(ClassPriorityTest, CountsNoOutcomeWithoutAnAttempt) {
+TEST_F(ClassPriorityTest, IgnoresOutcomesOfRequestsWithoutAttempts) {
   for (int number = 0; number < 10; ++number) {
     priority_.record_outcome(request_of(kRead), ServiceStatistics::Result::NotOnTime, kNow);
   }
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-constexpr double kObjectiveShare =
-    0.6;                             // of a latency objective that a request may spend in flight on average
-constexpr double kCalmFactor = 1.9;  // times the calm latency that it may spend
+// Share of its latency objective that a request may spend in flight on average.
+constexpr double kObjectiveShare = 0.6;
+// How many times its calm latency a request may spend in flight on average.
+constexpr double kCalmFactor = 1.9;
 // Requests in flight for each endpoint, of all instances together, that are always admitted.
 constexpr double kFloorPerEndpoint = 5;
-constexpr double kFloorPerEndpointAtStart = 8;  // twice the initial capacity of an endpoint
+constexpr double kStartupFloorPerEndpoint = 8;  // twice the initial learned capacity of an endpoint
 
 }  // namespace
 
@@ -30,46 +31,49 @@
   if (is_under_floor(request, now, started_at)) {
     return true;
   }
-  // A service that is slow by itself would fill the others' capacity: it has one of its own, as large as its
-  // success.
+  // A service that alone is slow would take the capacity of the others. It has a limit of its own, in
+  // proportion to its success ratio.
   if (std::optional<std::size_t> isolated = inputs_.priority.isolated_service(request)) {
     const ServiceStatistics& statistics = inputs_.priority.services()[*isolated];
-    double own_rate =
+    double isolated_limit =
         statistics.success_ratio * statistics.traffic_share * inputs_.completions.recent_per_s();
-    return loads_[*isolated].objectives < own_rate;
+    return loads_[*isolated].by_objective < isolated_limit;
   }
   return is_under_rates(request);
 }
 
-// The floor is shared: the small allowances of many instances would add up to a crowd on every endpoint. With
-// many instances, rounding each limit up to a whole request would admit too much in total; a random threshold
-// for each request makes the expected total exact.
+// The floor is divided by the number of instances, as the floors of many instances would otherwise add up to
+// an overload of every endpoint. The part of one instance may be a fraction of a request, and rounding it up
+// at every instance would admit too much in total. The random capacity draw of each request makes the
+// expected total exact.
 bool ConcurrencyLimit::is_under_floor(const RequestState& request, double now, double started_at) const {
   bool is_starting = now < started_at + kStartupSeconds;
-  double per_endpoint = is_starting ? kFloorPerEndpointAtStart : kFloorPerEndpoint;
+  double per_endpoint = is_starting ? kStartupFloorPerEndpoint : kFloorPerEndpoint;
   double floor = per_endpoint * inputs_.endpoints.count(Health::Healthy) / inputs_.deployment.instance_count;
+  // About two requests are admitted in any case, fewer if the class of this one is rarely served on time.
   double class_floor = 2 * inputs_.priority.services()[request.class_index].success_ratio;
   return in_flight_ + request.capacity_draw < std::max(class_floor, floor);
 }
 
 bool ConcurrencyLimit::is_under_rates(const RequestState& request) const {
   const std::vector<ServiceStatistics>& services = inputs_.priority.services();
-  double objectives = 0;
-  double calm = 0;
+  double load_by_objective = 0;
+  double load_by_calm = 0;
   for (std::size_t service = 0; service < services.size(); ++service) {
-    // Every request is in its class's load; that of an isolated tenant is taken out of it.
+    // The load of a request counts once for its class and once for its tenant. Classes are added up, and
+    // isolated services, which have their own limit, are subtracted.
     int class_sign = service < inputs_.priority.class_count() ? 1 : 0;
     int sign = class_sign - (services[service].is_isolated ? 1 : 0);
-    objectives += sign * loads_[service].objectives;
-    calm += sign * loads_[service].calm;
+    load_by_objective += sign * loads_[service].by_objective;
+    load_by_calm += sign * loads_[service].by_calm;
   }
   double objective_s = inputs_.deployment.request_classes[request.class_index].latency_objective_s;
-  objectives += request.capacity_draw / (kObjectiveShare * objective_s);
-  calm += request.capacity_draw / inputs_.latencies.calm_latency_s(request.class_index);
-  // The calm load is bounded by the best rate of a long time: a recent one is lowered by the limit that it
-  // sets.
-  return objectives < inputs_.completions.recent_per_s() &&
-         calm < kCalmFactor * inputs_.completions.best_per_s();
+  load_by_objective += request.capacity_draw / (kObjectiveShare * objective_s);
+  load_by_calm += request.capacity_draw / inputs_.latencies.calm_latency_s(request.class_index);
+  // The calm load is compared with the best rate of a long time: this limit lowers the recent rate, and so
+  // would go on lowering itself.
+  return load_by_objective < inputs_.completions.recent_per_s() &&
+         load_by_calm < kCalmFactor * inputs_.completions.best_per_s();
 }
 
 void ConcurrencyLimit::acquire(RequestState& request) {
@@ -94,8 +98,8 @@
 void ConcurrencyLimit::add(const RequestState& request, int sign) {
   in_flight_ += sign;
   for (std::size_t service : request.services) {
-    loads_[service].objectives += sign * request.load_weight;
-    loads_[service].calm += sign * request.calm_load_weight;
+    loads_[service].by_objective += sign * request.load_weight;
+    loads_[service].by_calm += sign * request.calm_load_weight;
   }
 }
 
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -1,5 +1,7 @@
-// Admission: whether one more request may be in flight. The load is counted in latency objectives and, by
-// Little's law, bounded by the rate of responses; where responses report load, the reported fullness decides.
+// The concurrency limit: whether one more request may be in flight. By Little's law, requests in flight times
+// the inverse of their expected latency give the response rate that they need; the limit compares that with
+// the measured rate of responses. Where responses report load, the load of all endpoints together decides
+// instead.
 #pragma once
 
 #include <vector>
@@ -14,7 +16,7 @@
 
 class ConcurrencyLimit {
  public:
-  // Time after the start in which rates are not known.
+  // After the start, the time in which completion rates are not yet known.
   static constexpr double kStartupSeconds = 3;
 
   struct Inputs {
@@ -27,25 +29,28 @@
   };
   explicit ConcurrencyLimit(const Inputs& inputs);
 
-  // Whether `request` may have its next attempt now. `started_at` is when the policy began to learn.
+  // Whether there is capacity for the next attempt of `request`. `started_at` is when the policy began to
+  // collect rates.
   bool has_capacity_for(const RequestState& request, double now, double started_at) const;
-  // Counts the request until release; a second call changes nothing.
+  // Counts `request` as load until release. Each changes nothing if it is called twice.
   void acquire(RequestState& request);
   void release(RequestState& request);
 
  private:
-  // Requests in flight of one service.
+  // The response rates, in requests a second, that the requests in flight of one service need.
   struct Load {
-    double objectives = 0;  // in shares of the latency objective
-    double calm = 0;        // in calm latencies
+    double by_objective = 0;  // to complete within kObjectiveShare of their latency objectives
+    double by_calm = 0;       // to complete within their calm latencies
   };
 
+  // Whether so few requests are in flight that one more is admitted whatever the rates are.
   bool is_under_floor(const RequestState& request, double now, double started_at) const;
+  // Whether the measured rates of responses cover one more request.
   bool is_under_rates(const RequestState& request) const;
   void add(const RequestState& request, int sign);
 
   Inputs inputs_;
-  std::vector<Load> loads_;  // by service of ClassPriority
+  std::vector<Load> loads_;  // by service, as in ClassPriority::services
   int in_flight_ = 0;
 };
 
--- a/src/policy/concurrency_limit_behavior_test.cpp
+++ b/src/policy/concurrency_limit_behavior_test.cpp
@@ -1,4 +1,4 @@
-// How many requests may be in flight at once, and what becomes of those beyond.
+// How many requests may be in flight at once, and what happens to requests beyond that number.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 namespace puffinvane::test {
 namespace {
 
-// The attempts that are sent at once of `requests` safe requests.
+// Receives `requests` safe requests and returns how many attempts are sent at once.
 std::size_t sent_at_once(FakeHost& host, int requests) {
   std::size_t sent_before = host.sent().size();
   host.receive_many(requests);
@@ -25,7 +25,7 @@
   std::size_t sent = sent_at_once(host, 100);
 
   EXPECT_LT(sent, 30U);
-  EXPECT_GT(host.rejected().size(), 30U);  // those that would only wait for their queue timeout
+  EXPECT_GT(host.rejected().size(), 30U);  // requests that would not be sent before their queue timeout
 }
 
 TEST(ConcurrencyLimit, RejectsQueuedRequestsLongBeforeTheirDeadline) {
@@ -39,8 +39,9 @@
   EXPECT_GT(host.rejected().size(), 70U);
 }
 
-// Before any rate is known, an instance has twice the first capacity of 4 for its part of each endpoint.
-TEST(ConcurrencyLimit, InstanceThatHasJustStartedSendsTwiceItsFirstCapacity) {
+// While rates are unknown, 8 requests per endpoint are admitted, twice the initial learned capacity of 4.
+// They are divided among the instances: 4 endpoints and 2 instances make 16 requests.
+TEST(ConcurrencyLimit, NewInstanceSendsItsShareOfTwiceTheInitialCapacity) {
   FakeHost host{deployment().as_instance(0, 2)};
   host.list_ready_endpoints(4);
 
@@ -68,19 +69,19 @@
   EXPECT_GE(host.attempts_sent_to("a2", ejected_at_s) + host.attempts_sent_to("a3", ejected_at_s), 3);
 }
 
-// What is sent at once of 300 requests, after six unsafe ones may have hung for 1.1 s; before,
-// `late_requests` were late.
+// Serves requests of which the last `late_requests` are late, then lets `hanging_requests` unsafe requests
+// hang for 1.1 s. Returns how many of 300 further requests are sent at once.
 std::size_t sent_beside_hanging_requests(int hanging_requests, int late_requests) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(2);
   host.serve_requests(150, 0.05);
   host.serve_requests(late_requests, 0.09);
   host.receive_many(hanging_requests, request_of_class("mutating"));
-  host.serve_requests(22, 0.05);  // an unsafe request counts as late after 0.5 s here
+  host.serve_requests(22, 0.05);  // the hedge threshold of the unsafe class is 0.5 s
   return sent_at_once(host, 300);
 }
 
-TEST(ConcurrencyLimit, RequestsInFlightForVeryLongTakeNoCapacity) {
+TEST(ConcurrencyLimit, HangingRequestsTakeNoCapacity) {
   std::size_t without_hanging = sent_beside_hanging_requests(0, 0);
   std::size_t beside_hanging = sent_beside_hanging_requests(6, 0);
 
@@ -88,16 +89,18 @@
   EXPECT_GE(beside_hanging, without_hanging);
 }
 
-// Retries around an endpoint of a tier behind come late as well: a few late answers are no overload yet.
-TEST(ConcurrencyLimit, RequestsInFlightForVeryLongTakeNoCapacityThoughSomeAnswersAreLate) {
+// Responses that were retried on a tier behind come late as well. A few late responses don't mean overload,
+// so hanging requests still have to be released.
+TEST(ConcurrencyLimit, HangingRequestsTakeNoCapacityThoughSomeResponsesAreLate) {
   std::size_t without_hanging = sent_beside_hanging_requests(0, 6);
   std::size_t beside_hanging = sent_beside_hanging_requests(6, 6);
 
   EXPECT_GE(beside_hanging, without_hanging);
 }
 
-// What is sent at once of 60 requests after the traffic has risen and answers took `response_time_s`.
-std::size_t sent_after_rise(double response_time_s) {
+// Serves single requests, then pairs of requests whose responses take `response_time_s`. Returns how many of
+// 60 further requests are sent at once.
+std::size_t sent_after_traffic_rise(double response_time_s) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(1);
   host.serve_requests(100, 0.05);
@@ -110,11 +113,13 @@
   return sent_at_once(host, 60);
 }
 
-TEST(ConcurrencyLimit, AdmitsRisenTrafficAtCalmLatency) { EXPECT_GE(sent_after_rise(0.05), 2U); }
+TEST(ConcurrencyLimit, AdmitsMoreTrafficAtCalmLatency) { EXPECT_GE(sent_after_traffic_rise(0.05), 2U); }
 
-TEST(ConcurrencyLimit, AdmitsNoMoreAtRisenLatency) { EXPECT_LE(sent_after_rise(0.3), sent_after_rise(0.05)); }
+TEST(ConcurrencyLimit, AdmitsNoMoreTrafficAtHigherLatency) {
+  EXPECT_LE(sent_after_traffic_rise(0.3), sent_after_traffic_rise(0.05));
+}
 
-// The completion rates of idle hours say nothing of what the endpoints can do.
+// The completion rate is 0 after idle hours, which says nothing about what the endpoints can serve.
 TEST(ConcurrencyLimit, AdmitsAsMuchAfterIdleHoursAsAfterStart) {
   FakeHost host{deployment().with_latency_objective(0.5)};
   host.list_ready_endpoints(4);
--- a/src/policy/concurrency_limit_test.cpp
+++ b/src/policy/concurrency_limit_test.cpp
@@ -32,8 +32,8 @@
     state.services = {0};
     return state;
   }
-  // Acquires capacity for so many requests.
-  void fill(int count) {
+  // Acquires capacity for `count` requests.
+  void acquire_capacity(int count) {
     for (int number = 0; number < count; ++number) {
       RequestState state = request();
       limit_.acquire(state);
@@ -52,27 +52,27 @@
   ConcurrencyLimit limit_{{deployment_, endpoints_, latencies_, priority_, completions_, fleet_load_}};
 };
 
-TEST_F(ConcurrencyLimitTest, AdmitsFiveRequestsForEachEndpoint) {
+TEST_F(ConcurrencyLimitTest, AdmitsFiveRequestsPerEndpoint) {
   add_healthy_endpoints(2);
 
-  fill(9);
+  acquire_capacity(9);
   EXPECT_TRUE(has_capacity());
 
-  fill(1);
+  acquire_capacity(1);
   EXPECT_FALSE(has_capacity());
 }
 
-TEST_F(ConcurrencyLimitTest, AdmitsEightForEachEndpointWhileRatesAreUnknown) {
+TEST_F(ConcurrencyLimitTest, AdmitsEightRequestsPerEndpointWhileRatesAreUnknown) {
   add_healthy_endpoints(2);
-  fill(15);
+  acquire_capacity(15);
 
   EXPECT_TRUE(has_capacity(kNow - 2.9));
   EXPECT_FALSE(has_capacity(kNow - 3));
 }
 
-TEST_F(ConcurrencyLimitTest, AReleasedRequestLeavesItsCapacity) {
+TEST_F(ConcurrencyLimitTest, ReleaseFreesCapacity) {
   add_healthy_endpoints(1);
-  fill(4);
+  acquire_capacity(4);
   RequestState last = request();
   limit_.acquire(last);
   ASSERT_FALSE(has_capacity());
@@ -82,9 +82,9 @@
   EXPECT_TRUE(has_capacity());
 }
 
-TEST_F(ConcurrencyLimitTest, CountsARequestOnce) {
+TEST_F(ConcurrencyLimitTest, CountsRequestOnceThoughAcquiredTwice) {
   add_healthy_endpoints(1);
-  fill(3);
+  acquire_capacity(3);
   RequestState request_state = request();
 
   limit_.acquire(request_state);
@@ -93,7 +93,7 @@
   EXPECT_TRUE(has_capacity());
 }
 
-TEST_F(ConcurrencyLimitTest, AdmitsByTheRateOfResponses) {
+TEST_F(ConcurrencyLimitTest, AdmitsByResponseRate) {
   add_healthy_endpoints(1);
   for (int tick = 0; tick < 80; ++tick) {
     for (int response = 0; response < 10; ++response) {
@@ -102,39 +102,39 @@
     completions_.on_tick();
   }
 
-  // 100 responses a second may spend 0.6 of the objective of 1 s, but no more than 1.9 calm latencies of 0.25
-  // s.
-  fill(47);
+  // At 100 responses a second, the recent rate admits 60 requests (0.6 of the latency objective of 1 s) and
+  // the best rate 47.5 (1.9 calm latencies of 0.25 s). The lower limit counts.
+  acquire_capacity(47);
   EXPECT_TRUE(has_capacity());
 
-  fill(1);
+  acquire_capacity(1);
   EXPECT_FALSE(has_capacity());
 }
 
-TEST_F(ConcurrencyLimitTest, ARetryAlwaysHasCapacity) {
+TEST_F(ConcurrencyLimitTest, AlwaysAdmitsRetry) {
   add_healthy_endpoints(1);
-  fill(100);
+  acquire_capacity(100);
   RequestState retry = request();
   retry.queue_position.rank = RequestQueue::kRetryRank;
 
   EXPECT_TRUE(limit_.has_capacity_for(retry, kNow, kLongAgo));
 }
 
-TEST_F(ConcurrencyLimitTest, LimitsNothingBehindTheFirstTier) {
+TEST_F(ConcurrencyLimitTest, AdmitsAllRequestsBehindTheFirstTier) {
   deployment_.tier = 1;
-  fill(100);
+  acquire_capacity(100);
 
   EXPECT_TRUE(has_capacity());
 }
 
-TEST_F(ConcurrencyLimitTest, TheFloorIsSharedByAllInstances) {
+TEST_F(ConcurrencyLimitTest, DividesFloorAmongInstances) {
   deployment_.instance_count = 2;
   add_healthy_endpoints(2);
 
-  fill(4);
+  acquire_capacity(4);
   EXPECT_TRUE(has_capacity());
 
-  fill(1);
+  acquire_capacity(1);
   EXPECT_FALSE(has_capacity());
 }
 
@@ -143,8 +143,8 @@
   ReportedLoadLimitTest() : ConcurrencyLimitTest(test::deployment().reporting_load()) {}
 };
 
-TEST_F(ReportedLoadLimitTest, AdmitsAllWhileNothingIsReported) {
-  fill(100);
+TEST_F(ReportedLoadLimitTest, AdmitsAllWhileNoLoadIsReported) {
+  acquire_capacity(100);
 
   EXPECT_TRUE(has_capacity());
 }
--- a/src/policy/discovery_refresh.cpp
+++ b/src/policy/discovery_refresh.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
-constexpr double kStartShare = 0.4;  // of the interval, over which instances spread their first polls
-// Backoffs last 0.5 to 1.5 of their time: the list service is one for all instances.
+constexpr double kStartShare =
+    0.4;  // share of the poll interval over which instances spread their first polls
+// Backoffs last 0.5 to 1.5 times backoff_s_, so that the instances don't poll their common discovery service
+// at once.
 constexpr double kJitterFloor = 0.5;
 
 }  // namespace
--- a/src/policy/discovery_refresh.h
+++ b/src/policy/discovery_refresh.h
@@ -1,5 +1,6 @@
-// When to ask for the list of endpoints, where discovery has to be polled: instances start in turn by their
-// indexes, and failed polls back off.
+// When to poll discovery for the endpoint list, in deployments where the list isn't pushed. The first polls
+// of the instances are spread over time, failed polls are repeated with a growing backoff, and a successful
+// poll is the last one.
 #pragma once
 
 #include "puffinvane/policy.h"
@@ -9,12 +10,13 @@
 
 class DiscoveryRefresh {
  public:
-  // `stagger`, in [0, 1), is where in the first interval this instance polls.
+  // `stagger`, in [0, 1), places the first poll of this instance within the time over which instances spread
+  // theirs.
   DiscoveryRefresh(const Deployment& deployment, double now, double stagger);
 
-  // Returns whether a poll is due; it counts as sent.
+  // Returns whether a poll is due, and if so records it as sent.
   bool begin_poll_if_due(double now);
-  // A poll without an answer within the interval has failed.
+  // Fails a poll that got no response within the poll interval.
   void fail_overdue_poll(double now, Random& random);
   void on_list_received();
   void on_poll_failed(double now, Random& random);
@@ -23,8 +25,8 @@
   static constexpr double kFirstBackoffSeconds = 0.5;
 
   const Deployment& deployment_;
-  double next_poll_at_ = 0;        // 0: none is planned
-  double response_due_at_ = 0;  // 0: none is outstanding
+  double next_poll_at_ = 0;     // 0: no poll is scheduled
+  double response_due_at_ = 0;  // 0: no poll awaits a response
   double backoff_s_ = kFirstBackoffSeconds;
 };
 
--- a/src/policy/discovery_refresh_behavior_test.cpp
+++ b/src/policy/discovery_refresh_behavior_test.cpp
@@ -1,4 +1,4 @@
-// When an instance polls for an endpoint list, and what it does while polls fail.
+// When an instance polls discovery for the endpoint list, and how it serves requests while polls fail.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 constexpr int kInstances = 4;
 
-// An instance that polls. It has a cached list of two endpoints and has run until after its first poll.
+// An instance that polls discovery. It has a cached list of two endpoints and has made its first poll.
 class PollingInstance {
  public:
   explicit PollingInstance(int index)
@@ -26,14 +26,14 @@
   FakeHost& host() { return host_; }
   double poll_interval_s() const { return settings_.list_poll_interval_s; }
 
-  // Fails `count` polls one after another; returns the time from each failure to the next poll.
+  // Fails `count` polls one after another. Returns the delay from each failure to the next poll.
   std::vector<double> fail_polls(int count) {
     std::vector<double> delays_s;
     for (int i = 0; i < count; ++i) {
       host_.fail_list_poll();
       double failed_at_s = host_.now_s();
       std::size_t polls_before = host_.list_polls_s().size();
-      while (host_.list_polls_s().size() == polls_before && host_.now_s() < failed_at_s + kMostDelayS) {
+      while (host_.list_polls_s().size() == polls_before && host_.now_s() < failed_at_s + kMaxDelayS) {
         host_.run_for(0.1);
       }
       EXPECT_EQ(host_.list_polls_s().size(), polls_before + 1);
@@ -44,7 +44,7 @@
 
  private:
   static constexpr unsigned kFirstSeed = 40;
-  static constexpr double kMostDelayS = 60;
+  static constexpr double kMaxDelayS = 60;
 
   Deployment settings_;
   FakeHost host_;
@@ -78,7 +78,7 @@
 
 INSTANTIATE_TEST_SUITE_P(DiscoveryRefresh, DiscoveryRefreshOfInstance, testing::Range(0, kInstances));
 
-// One discovery service serves all instances: they do not poll it all at once.
+// All instances poll one discovery service, which must not get their first polls at the same time.
 TEST(DiscoveryRefresh, SpreadsFirstPollsOfInstances) {
   std::set<double> first_polls_s;
 
--- a/src/policy/discovery_refresh_test.cpp
+++ b/src/policy/discovery_refresh_test.cpp
@@ -9,14 +9,14 @@
 
 constexpr double kNow = 100;
 
-TEST(DiscoveryRefresh, DoesNotPollAPushedList) {
+TEST(DiscoveryRefresh, DoesNotPollIfListIsPushed) {
   Deployment deployment = test::deployment();
   DiscoveryRefresh refresh(deployment, kNow, 0);
 
   EXPECT_FALSE(refresh.begin_poll_if_due(kNow + 1000));
 }
 
-TEST(DiscoveryRefresh, StaggersFirstPollsOverTwoFifthsOfTheInterval) {
+TEST(DiscoveryRefresh, SpreadsFirstPollsOverTwoFifthsOfTheInterval) {
   Deployment deployment = test::deployment().polling_endpoint_list();
   deployment.list_poll_interval_s = 10;
   DiscoveryRefresh refresh(deployment, kNow, 0.5);
@@ -38,7 +38,7 @@
   EXPECT_TRUE(refresh.begin_poll_if_due(kNow + 1.5 * 4));
 }
 
-TEST(DiscoveryRefresh, AListEndsTheBackoff) {
+TEST(DiscoveryRefresh, ReceivedListResetsBackoff) {
   Deployment deployment = test::deployment().polling_endpoint_list();
   DiscoveryRefresh refresh(deployment, kNow, 0);
   Random random(5);
@@ -52,7 +52,7 @@
   EXPECT_TRUE(refresh.begin_poll_if_due(kNow + 0.75));
 }
 
-TEST(DiscoveryRefresh, APollWithoutAnswerFailsAfterTheInterval) {
+TEST(DiscoveryRefresh, PollWithoutResponseFailsAfterTheInterval) {
   Deployment deployment = test::deployment().polling_endpoint_list();
   deployment.list_poll_interval_s = 10;
   DiscoveryRefresh refresh(deployment, kNow, 0);
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -51,8 +51,8 @@
     return Decision::NotDue;
   }
   // A request with much work is late at any endpoint, and a hedge would double its work on every tier behind.
-  // The lateness is therefore not held against an endpoint that isn't slow if it has responded since the
-  // attempt was sent, or until a second hedge threshold has passed.
+  // An endpoint that isn't slow therefore gets a second hedge threshold, and no hedge is sent at all if it
+  // has responded to another attempt since.
   bool has_responded_since = endpoint.whole.responses.last_response_at() > attempt.sent_at;
   bool is_within_grace = waited < kGraceThresholds * threshold_s;
   if (endpoint.whole.responses.slowness(now) < kSlowEndpointThreshold &&
--- a/src/policy/hedging_behavior_test.cpp
+++ b/src/policy/hedging_behavior_test.cpp
@@ -1,4 +1,4 @@
-// When a late request gets a second attempt beside the first, and what keeps it from one.
+// When a late request gets a hedge, and which conditions suppress it.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -55,8 +55,9 @@
 INSTANTIATE_TEST_SUITE_P(Hedging, HedgingOfClass, testing::Values("mutating", "tagged"),
                          [](const testing::TestParamInfo<std::string>& info) { return info.param; });
 
-// Heavy requests are late at any endpoint; one that answers later requests is not at fault.
-TEST(Hedging, DoesNotHedgeHeavyRequestAtEndpointThatAnswersOthers) {
+// A request with much work is late at any endpoint. An endpoint that responds to later requests meanwhile
+// isn't the cause.
+TEST(Hedging, DoesNotHedgeHeavyRequestIfItsEndpointRespondsToOthers) {
   constexpr std::size_t kLightRequests = 3;
   FakeHost host{deployment()};
   host.list_ready_endpoints(2);
@@ -76,7 +77,8 @@
   EXPECT_EQ(host.attempt_count(heavy.request), 1);
 }
 
-// How many attempts a late request at the slow "a0" gets while "a1", the only other endpoint, reports `load`.
+// The number of attempts of a late request at the slow "a0" while "a1", the only other endpoint, reports
+// `load`.
 int attempts_of_late_request_if_other_reports(const Load& load) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(2);
@@ -89,15 +91,16 @@
   return host.attempt_count(late.request);
 }
 
-TEST(Hedging, HedgesAtEndpointBelowDepthBound) {
+TEST(Hedging, SendsHedgeToEndpointBelowDepthBound) {
   EXPECT_EQ(attempts_of_late_request_if_other_reports({.depth = 2}), 2);
 }
 
-TEST(Hedging, DoesNotHedgeAtEndpointAsDeepAsBound) {
+TEST(Hedging, SendsNoHedgeToEndpointAboveDepthBound) {
   EXPECT_EQ(attempts_of_late_request_if_other_reports({.depth = 60}), 1);
 }
 
-// How many attempts a late request at "a0" gets after "a1", the only other endpoint, has ended an attempt.
+// The number of attempts of a late request at "a0" if an attempt at "a1", the only other endpoint, ended with
+// `outcome` before.
 int attempts_of_late_request_after_other_ended(Outcome outcome) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(2);
@@ -108,11 +111,11 @@
   return host.attempt_count(late.request);
 }
 
-TEST(Hedging, HedgesAtEndpointWithoutErrors) {
+TEST(Hedging, SendsHedgeToEndpointWithoutErrors) {
   EXPECT_EQ(attempts_of_late_request_after_other_ended(Outcome::Delivered), 2);
 }
 
-TEST(Hedging, DoesNotHedgeAtEndpointWithErrors) {
+TEST(Hedging, SendsNoHedgeToEndpointWithErrors) {
   EXPECT_EQ(attempts_of_late_request_after_other_ended(Outcome::Failed), 1);
 }
 
@@ -129,17 +132,18 @@
   EXPECT_EQ(host.sent().size(), sent_before);
 }
 
-// While all endpoints are late, no request is hedged. Hours later that says nothing.
+// No request is hedged while all endpoints are late. After idle hours that lateness is outdated and must not
+// suppress hedges any more.
 TEST(Hedging, HedgesAfterIdleHoursThoughAllWereLateBefore) {
-  auto late_answer = [](const SentAttempt& attempt) {
+  auto late_response = [](const SentAttempt& attempt) {
     return EndpointAnswer{spread_response_time_s(attempt, 0.9)};
   };
   FakeHost host{deployment().with_latency_objective(0.5)};
   host.list_ready_endpoints(4);
   SteadyTraffic traffic(host);
   traffic.run_for(30, 20, usual_answer);
-  traffic.run_for(3, 20, late_answer);
-  traffic.stop_for(kIdleHoursS, late_answer);
+  traffic.run_for(3, 20, late_response);
+  traffic.stop_for(kIdleHoursS, late_response);
   std::size_t sent_before = host.sent().size();
 
   host.receive(request_of_class("read").due_in(6));
--- a/src/policy/hedging_test.cpp
+++ b/src/policy/hedging_test.cpp
@@ -9,7 +9,8 @@
 
 using Decision = Hedging::Decision;
 
-// A request whose only attempt was sent at 100 s. The hedge threshold is half of the objective, 1 s.
+// A request whose only attempt was sent at 100 s. Without latency samples the hedge threshold is half of the
+// latency objective: 1 s.
 class HedgingTest : public testing::Test {
  protected:
   HedgingTest() {
@@ -31,18 +32,18 @@
   EXPECT_EQ(hedging_.counts_text(), "");
 }
 
-TEST_F(HedgingTest, GivesAnEndpointWithNothingAgainstItASecondThreshold) {
+TEST_F(HedgingTest, AllowsHedgeAfterTwoThresholdsIfEndpointIsNotSlow) {
   EXPECT_EQ(decide(101.5), Decision::Recheck);
   EXPECT_EQ(decide(102.5), Decision::Allowed);
 }
 
-TEST_F(HedgingTest, BelievesAnEndpointThatRespondedSince) {
+TEST_F(HedgingTest, RechecksIfEndpointHasRespondedSince) {
   endpoint_.whole.responses.record_response_time(101);
 
   EXPECT_EQ(decide(102.5), Decision::Recheck);
 }
 
-TEST_F(HedgingTest, DoesNotWaitLongerForASlowEndpoint) {
+TEST_F(HedgingTest, AllowsHedgeAfterOneThresholdIfEndpointIsSlow) {
   ResponseSample slow;
   slow.completed_at_s = 99;
   slow.latency_ratio = 10;
@@ -60,7 +61,7 @@
   EXPECT_EQ(hedging_.counts_text(), ", shared lateness 1");
 }
 
-TEST_F(HedgingTest, NeedsTwentyRequestsToSeeSharedLateness) {
+TEST_F(HedgingTest, IsNotSuppressedBySharedLatenessOfLessThanTwentyRequests) {
   for (int request = 0; request < 19; ++request) {
     hedging_.record_lateness(Hedging::Lateness::Late);
   }
@@ -68,7 +69,7 @@
   EXPECT_EQ(decide(102.5), Decision::Allowed);
 }
 
-TEST_F(HedgingTest, CountsLatenessFromTheEndOfAStall) {
+TEST_F(HedgingTest, MeasuresLatenessFromTheEndOfAStall) {
   EXPECT_EQ(hedging_.decide(request_, endpoint_, 105, 104.5), Decision::NotDue);
 }
 
@@ -78,14 +79,14 @@
   EXPECT_EQ(decide(105), Decision::NotDue);
 }
 
-TEST_F(HedgingTest, IsNotDuePastTheLimitOfAttempts) {
+TEST_F(HedgingTest, IsNotDueAtTheAttemptLimit) {
   deployment_.max_attempts = 1;
 
   EXPECT_EQ(decide(105), Decision::NotDue);
 }
 
-TEST_F(HedgingTest, TargetHasToBeUnderTheBoundOnItsDepth) {
-  // The initial capacity is 4, the bound 0.85 of it: a depth of 3 passes.
+TEST_F(HedgingTest, AcceptsTargetBelowDepthBound) {
+  // The initial learned capacity is 4 and the bound is 0.85 of it: a depth of 3 is accepted.
   for (RequestId request = 1; request <= 3; ++request) {
     endpoint_.whole.in_flight.insert({100, request, 0, 0});
   }
@@ -97,7 +98,7 @@
   EXPECT_EQ(hedging_.counts_text(), ", suppressed by depth 1");
 }
 
-TEST_F(HedgingTest, TargetMayHaveNoRecentError) {
+TEST_F(HedgingTest, AcceptsNoTargetWithRecentError) {
   ResponseSample failed;
   failed.failed = true;
   endpoint_.whole.responses.record_sample(failed);
--- a/src/policy/request_queue_behavior_test.cpp
+++ b/src/policy/request_queue_behavior_test.cpp
@@ -1,4 +1,4 @@
-// How long requests wait for an endpoint or for capacity, and what ends their wait.
+// How long requests are queued for lack of an endpoint or of capacity, and what ends their time in the queue.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -28,7 +28,8 @@
   EXPECT_EQ(host.rejected(), std::vector<RequestId>{request});
 }
 
-// The timer that finds unresponsive endpoints frees capacity; requests whose queue timeout ends then get it.
+// The tick that finds attempts lost releases their capacity. A request whose queue timeout ends in the same
+// tick has to get that capacity instead of being rejected.
 TEST(RequestQueue, DispatchesRequestIfCapacityIsFreedAsItsQueueTimeoutEnds) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(2);
--- a/src/policy/request_queue_test.cpp
+++ b/src/policy/request_queue_test.cpp
@@ -24,7 +24,7 @@
   EXPECT_EQ(order_of(queue), (std::vector<RequestId>{2, 1, 3}));
 }
 
-TEST(RequestQueue, RetriesComeFirst) {
+TEST(RequestQueue, OrdersRetriesFirst) {
   RequestQueue queue;
   queue.enqueue(1, -1000);
   queue.enqueue(2, RequestQueue::kRetryRank);
@@ -51,11 +51,11 @@
   EXPECT_EQ(queue.last_sequence(), 1U);
 }
 
-TEST(RequestQueue, TimeoutLeavesTimeForACalmAttempt) {
+TEST(RequestQueue, TimeoutLeavesTimeForTwoCalmLatencies) {
   EXPECT_DOUBLE_EQ(RequestQueue::timeout_s(1, 0.1), 0.6);
 }
 
-TEST(RequestQueue, TimeoutIsAFifthOfTheObjectiveAtLeast) {
+TEST(RequestQueue, TimeoutIsAtLeastAFifthOfTheObjective) {
   EXPECT_DOUBLE_EQ(RequestQueue::timeout_s(1, 0.5), 0.2);
 }
 
--- a/src/policy/retry_safety_behavior_test.cpp
+++ b/src/policy/retry_safety_behavior_test.cpp
@@ -1,5 +1,5 @@
-// Rule 2: a request that may have run runs again only where that does no harm. What follows an attempt that
-// ended, by the idempotency of the request.
+// Rule 2: a request that may have run is attempted again only where that cannot take effect twice. The tests
+// check what follows the end of an attempt, for each idempotency.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -17,12 +17,12 @@
 struct LostAttempt {
   std::string request_class;
   Outcome outcome;
-  std::string name;  // of the test
+  std::string name;  // of the test case
 };
 
 std::string name_of(const testing::TestParamInfo<LostAttempt>& info) { return info.param.name; }
 
-// A request whose first attempt has ended with the outcome of the parameter; 0.01 s have passed since.
+// A request whose first attempt ended with the outcome of the parameter 0.01 s ago.
 class AfterLostAttempt : public testing::TestWithParam<LostAttempt> {
  protected:
   AfterLostAttempt() {
@@ -74,7 +74,7 @@
                                          LostAttempt{"tagged-cell", Outcome::Broken, "KeyedInCellBroken"}),
                          name_of);
 
-// Two zones of two endpoints each, where keyed requests lose their first attempt.
+// Two zones of two endpoints each. Keyed requests lose their first attempt.
 class RetrySafetyInZones : public testing::Test {
  protected:
   RetrySafetyInZones() {
@@ -128,7 +128,7 @@
   EXPECT_EQ(host.sent()[1].endpoint, host.sent()[0].endpoint);
 }
 
-// A refused second attempt does not prove that the first one did not run.
+// The refusal of the second attempt doesn't show that the first one did not run.
 TEST(RetrySafety, RetriesKeyedRequestInItsZoneAfterItsRetryIsRefused) {
   FakeHost host{deployment()};
   host.list_endpoints(kOneEndpointEachZone);
@@ -163,7 +163,7 @@
   }
 }
 
-TEST(RetrySafety, RejectsKeyedRequestThatMayHaveRunOnlyIfAllEndpointsDropItsRepeat) {
+TEST(RetrySafety, RejectsKeyedRequestThatMayHaveRunOnlyIfItsGroupIsAllEndpoints) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(1);
   RequestId keyed_everywhere = host.receive(request_of_class("tagged-all"));
@@ -177,8 +177,9 @@
   EXPECT_EQ(host.failed(), std::vector<RequestId>{keyed_in_zone});
 }
 
-// With the connect timeout of 0.3 s, a retry after 0.6 s is written within the idempotency window of 1 s.
-TEST(RetrySafety, RetriesKeyedRequestThatIsWrittenWithinIdempotencyWindow) {
+// With the connect timeout of 0.3 s, a retry after 0.6 s is written within the idempotency window of 1 s at
+// the latest.
+TEST(RetrySafety, RetriesKeyedRequestWhoseRetryIsWrittenWithinIdempotencyWindow) {
   FakeHost host{deployment().with_connect_timeout(0.3)};
   host.list_ready_endpoints(4);
   host.receive(request_of_class("tagged"));
@@ -190,8 +191,9 @@
   EXPECT_EQ(host.failed().size(), 0U);
 }
 
-// After 0.75 s, the new connection may come up only when the idempotency window is over.
-TEST(RetrySafety, FailsKeyedRequestWhoseNewConnectionMayOutlastIdempotencyWindow) {
+// With the connect timeout of 0.3 s, a retry after 0.75 s may be written only after the idempotency window of
+// 1 s.
+TEST(RetrySafety, FailsKeyedRequestWhoseRetryMayBeWrittenAfterIdempotencyWindow) {
   FakeHost host{deployment().with_connect_timeout(0.3)};
   host.list_ready_endpoints(4);
   host.receive(request_of_class("tagged"));
@@ -203,7 +205,7 @@
   EXPECT_EQ(host.failed().size(), 1U);
 }
 
-// The request may be what breaks an endpoint.
+// The request itself may be what breaks the endpoints, so it isn't sent to a third one.
 void expect_rejection_of_requests_lost_twice(FakeHost& host) {
   for (Outcome outcome : {Outcome::Broken, Outcome::Failed}) {
     RequestId request = host.receive();
@@ -246,8 +248,9 @@
   EXPECT_EQ(host.cancelled(), (std::vector<CancelledAttempt>{{request, 0}}));
 }
 
-// Rule 1. The fake host reports a second answer.
-TEST(RetrySafety, GivesOneAnswerThoughOutcomesCrossAndComeLate) {
+// Rule 1: a client gets one final response. FakeHost fails the test on a second one. Outcomes and
+// cancellations come after the request has ended, and one outcome comes twice.
+TEST(RetrySafety, EndsRequestOnceThoughOutcomesComeLateAndTwice) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(3);
   RequestId expired = host.receive(request_of_class("mutating").due_in(1));
--- a/src/policy/retry_safety_test.cpp
+++ b/src/policy/retry_safety_test.cpp
@@ -25,8 +25,8 @@
     request.class_index = class_index;
     return request;
   }
-  // With one attempt, to the zone "here" and cell 1, that is over and may have run.
-  static RequestState lost(std::size_t class_index) {
+  // A request with one attempt, to zone "here" and cell 1, that has ended and may have run.
+  static RequestState request_that_may_have_run(std::size_t class_index) {
     RequestState request = request_of(class_index);
     Attempt attempt;
     attempt.sent_at = kSentAt;
@@ -36,51 +36,52 @@
     request.attempts.push_back(attempt);
     return request;
   }
-  static RequestState never_ran(std::size_t class_index) {
-    RequestState request = lost(class_index);
+  static RequestState request_that_never_ran(std::size_t class_index) {
+    RequestState request = request_that_may_have_run(class_index);
     request.attempts.back().may_have_run = false;
     return request;
   }
 
-  // Keyed requests are remembered for 1 s, less the connect timeout of 0.25 s and two round trips of 0.005 s.
+  // A keyed request may be retried for 0.74 s: the idempotency window of 1 s, less the connect timeout of
+  // 0.25 s and two round trips of 0.005 s.
   Deployment deployment_ = test::deployment();
   RetrySafety safety_{deployment_};
   Endpoint endpoint_;
 };
 
-TEST_F(RetrySafetyTest, EveryRequestMayHaveItsFirstAttempt) {
+TEST_F(RetrySafetyTest, EveryRequestMayBeAttemptedOnce) {
   for (std::size_t class_index : {kSafe, kKeyedInZone, kUnsafe}) {
     EXPECT_TRUE(safety_.may_attempt(request_of(class_index), endpoint_, kSentAt));
   }
 }
 
-TEST_F(RetrySafetyTest, AnUnsafeRequestThatMayHaveRunIsNotRetried) {
-  EXPECT_FALSE(safety_.may_attempt(lost(kUnsafe), endpoint_, kSentAt));
-  EXPECT_TRUE(safety_.may_attempt(lost(kSafe), endpoint_, kSentAt));
+TEST_F(RetrySafetyTest, UnsafeRequestThatMayHaveRunIsNotRetried) {
+  EXPECT_FALSE(safety_.may_attempt(request_that_may_have_run(kUnsafe), endpoint_, kSentAt));
+  EXPECT_TRUE(safety_.may_attempt(request_that_may_have_run(kSafe), endpoint_, kSentAt));
 }
 
-TEST_F(RetrySafetyTest, AnUnsafeRequestThatCannotHaveRunIsRetried) {
-  EXPECT_TRUE(safety_.may_attempt(never_ran(kUnsafe), endpoint_, kSentAt));
+TEST_F(RetrySafetyTest, UnsafeRequestThatCannotHaveRunIsRetried) {
+  EXPECT_TRUE(safety_.may_attempt(request_that_never_ran(kUnsafe), endpoint_, kSentAt));
 }
 
-TEST_F(RetrySafetyTest, AKeyedRequestIsRetriedWithinItsWindow) {
-  EXPECT_TRUE(safety_.may_attempt(lost(kKeyedEverywhere), endpoint_, kSentAt + 0.73));
-  EXPECT_FALSE(safety_.may_attempt(lost(kKeyedEverywhere), endpoint_, kSentAt + 0.75));
+TEST_F(RetrySafetyTest, KeyedRequestIsRetriedWithinIdempotencyWindow) {
+  EXPECT_TRUE(safety_.may_attempt(request_that_may_have_run(kKeyedEverywhere), endpoint_, kSentAt + 0.73));
+  EXPECT_FALSE(safety_.may_attempt(request_that_may_have_run(kKeyedEverywhere), endpoint_, kSentAt + 0.75));
 }
 
-TEST_F(RetrySafetyTest, AKeyedRequestStaysInItsGroup) {
+TEST_F(RetrySafetyTest, KeyedRequestIsRetriedWithinItsGroup) {
   Endpoint elsewhere;
   elsewhere.zone = "there";
   elsewhere.cell = 2;
 
-  EXPECT_TRUE(safety_.may_attempt(lost(kKeyedInZone), endpoint_, kSentAt));
-  EXPECT_FALSE(safety_.may_attempt(lost(kKeyedInZone), elsewhere, kSentAt));
-  EXPECT_FALSE(safety_.may_attempt(lost(kKeyedInCell), elsewhere, kSentAt));
-  EXPECT_TRUE(safety_.may_attempt(lost(kKeyedEverywhere), elsewhere, kSentAt));
+  EXPECT_TRUE(safety_.may_attempt(request_that_may_have_run(kKeyedInZone), endpoint_, kSentAt));
+  EXPECT_FALSE(safety_.may_attempt(request_that_may_have_run(kKeyedInZone), elsewhere, kSentAt));
+  EXPECT_FALSE(safety_.may_attempt(request_that_may_have_run(kKeyedInCell), elsewhere, kSentAt));
+  EXPECT_TRUE(safety_.may_attempt(request_that_may_have_run(kKeyedEverywhere), elsewhere, kSentAt));
 }
 
-TEST_F(RetrySafetyTest, ASecondAttemptNeedsParallelAttempts) {
-  RequestState request = lost(kSafe);
+TEST_F(RetrySafetyTest, AttemptBesideOneInFlightNeedsParallelAttempts) {
+  RequestState request = request_that_may_have_run(kSafe);
   request.attempts.back().is_in_flight = true;
   EXPECT_TRUE(safety_.may_attempt(request, endpoint_, kSentAt));
 
@@ -89,29 +90,29 @@
   EXPECT_FALSE(safety_.may_attempt(request, endpoint_, kSentAt));
 }
 
-TEST_F(RetrySafetyTest, AttemptsAreLimited) {
-  RequestState request = never_ran(kSafe);
+TEST_F(RetrySafetyTest, RequestAtAttemptLimitIsNotRetried) {
+  RequestState request = request_that_never_ran(kSafe);
   request.attempts.resize(4, request.attempts.front());
 
   EXPECT_FALSE(safety_.may_attempt(request, endpoint_, kSentAt));
 }
 
-TEST_F(RetrySafetyTest, OnlyAKeyedRequestThatMayHaveRunRepeatsAnEndpoint) {
-  EXPECT_TRUE(safety_.may_retry_same_endpoint(lost(kKeyedInZone)));
-  EXPECT_FALSE(safety_.may_retry_same_endpoint(never_ran(kKeyedInZone)));
-  EXPECT_FALSE(safety_.may_retry_same_endpoint(lost(kSafe)));
+TEST_F(RetrySafetyTest, OnlyKeyedRequestThatMayHaveRunIsRetriedAtSameEndpoint) {
+  EXPECT_TRUE(safety_.may_retry_same_endpoint(request_that_may_have_run(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_retry_same_endpoint(request_that_never_ran(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_retry_same_endpoint(request_that_may_have_run(kSafe)));
 }
 
-TEST_F(RetrySafetyTest, RejectsOnlyWhatDoesNoHarmAgain) {
-  EXPECT_TRUE(safety_.may_reject(lost(kSafe)));
-  EXPECT_TRUE(safety_.may_reject(lost(kKeyedEverywhere)));
-  EXPECT_FALSE(safety_.may_reject(lost(kKeyedInZone)));
-  EXPECT_FALSE(safety_.may_reject(lost(kUnsafe)));
-  EXPECT_TRUE(safety_.may_reject(never_ran(kUnsafe)));
+TEST_F(RetrySafetyTest, RejectsOnlyRequestsThatMaySafelyBeSentAgain) {
+  EXPECT_TRUE(safety_.may_reject(request_that_may_have_run(kSafe)));
+  EXPECT_TRUE(safety_.may_reject(request_that_may_have_run(kKeyedEverywhere)));
+  EXPECT_FALSE(safety_.may_reject(request_that_may_have_run(kKeyedInZone)));
+  EXPECT_FALSE(safety_.may_reject(request_that_may_have_run(kUnsafe)));
+  EXPECT_TRUE(safety_.may_reject(request_that_never_ran(kUnsafe)));
 }
 
-TEST_F(RetrySafetyTest, TwoLostAttemptsThatMayHaveRunAreSuspect) {
-  RequestState request = lost(kSafe);
+TEST_F(RetrySafetyTest, RequestThatMayHaveRunTwiceIsPossiblePoison) {
+  RequestState request = request_that_may_have_run(kSafe);
   EXPECT_FALSE(RetrySafety::is_possible_poison_request(request));
 
   request.attempts.push_back(request.attempts.front());
