--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -83,7 +83,7 @@
   request.counts_as_load = true;
   double objective_s = inputs_.deployment.request_classes[request.class_index].latency_objective_s;
   request.load_weight = 1 / (kObjectiveShare * objective_s);
-  request.calm_load_weight = 1 / inputs_.latencies.calm_latency_s(request.class_index);
+  request.calm_load_weight = 1 / inputs_.latencies.unloaded_latency_s(request.class_index);
   add(request, 1);
 }
 
--- a/src/policy/endpoint_transitions.cpp
+++ b/src/policy/endpoint_transitions.cpp
@@ -59,11 +59,11 @@
 }
 
 void BackupRequestPolicy::widen_recovery(Endpoint&, AttemptTarget& target) {
-  OutlierEjection::widen_recovery(target.ejection);
+  OutlierEjection::raise_recovery_limit(target.ejection);
 }
 
 void BackupRequestPolicy::end_absence(Endpoint&, AttemptTarget& target) {
-  OutlierEjection::end_absence(target.ejection, now_);
+  OutlierEjection::end_outage(target.ejection, now_);
 }
 
 void BackupRequestPolicy::apply_list_entry(const ListEntry& entry) {
@@ -103,7 +103,7 @@
 // it is ejected as well, that is, if attempts of this instance fail there too.
 void BackupRequestPolicy::on_endpoint_missing(Endpoint& endpoint) {
   endpoint.is_missing = true;
-  if (!deployment_.only_draining_binds || endpoint.health() == Health::Ejected) {
+  if (!deployment_.may_use_unlisted_endpoints || endpoint.health() == Health::Ejected) {
     apply_event_to_all(endpoint, HealthEvent::Unlisted);
   }
 }
--- a/src/policy/periodic_work.cpp
+++ b/src/policy/periodic_work.cpp
@@ -42,7 +42,7 @@
   if (now_ >= next_per_second_work_at_) {
     next_per_second_work_at_ = now_ + 1;
     release_unused_statistics();
-    latencies_.sample_means();
+    latencies_.record_means();
   }
   maintain_endpoints(reselect_subset_if_due());
   // Maintenance may have released capacity. Queued requests get it before those past their queue deadline are
--- a/src/policy/retry_safety.cpp
+++ b/src/policy/retry_safety.cpp
@@ -37,10 +37,10 @@
   if (now > window_end - 2 * deployment_.round_trip_s) {
     return false;
   }
-  switch (request_class.group) {
-    case Group::Zone: return earlier.zone == endpoint.zone;
-    case Group::Cell: return earlier.cell == endpoint.cell;
-    case Group::All: return true;
+  switch (request_class.idempotency_scope) {
+    case IdempotencyScope::Zone: return earlier.zone == endpoint.zone;
+    case IdempotencyScope::Cell: return earlier.cell == endpoint.cell;
+    case IdempotencyScope::All: return true;
   }
   return false;
 }
