--- a/src/policy/backup_request_policy.h
+++ b/src/policy/backup_request_policy.h
@@ -114,8 +114,8 @@
   void apply_event_to_all(Endpoint& endpoint, HealthEvent event);
   void eject(Endpoint& endpoint, AttemptTarget& target);
   void begin_recovery(Endpoint& endpoint, AttemptTarget& target);
-  void widen_recovery(Endpoint& endpoint, AttemptTarget& target);
-  void end_absence(Endpoint& endpoint, AttemptTarget& target);
+  void raise_recovery_limit(Endpoint& endpoint, AttemptTarget& target);
+  void end_outage(Endpoint& endpoint, AttemptTarget& target);
   void unlist(Endpoint&, AttemptTarget&) {}
   void apply_list_entry(const ListEntry& entry);
   void mark_missing_except(std::span<const ListEntry> entries);
--- a/src/policy/class_priority.cpp
+++ b/src/policy/class_priority.cpp
@@ -93,9 +93,9 @@
     best_ratio = std::max(best_ratio, statistics.success_ratio);
     if (is_class(service)) {
       double weight = deployment_.request_classes[service].priority_weight;
-      // A weight that counts by work is per unit of work already. Otherwise the calm latency stands for the
-      // work.
-      double work = deployment_.priority_by_work ? 1 : latencies_.calm_latency_s(service);
+      // A weight that counts by work is per unit of work already. Otherwise the unloaded latency stands for
+      // the work.
+      double work = deployment_.priority_by_work ? 1 : latencies_.unloaded_latency_s(service);
       statistics.value_rate = statistics.success_ratio * weight / work;
     }
   }
--- a/src/policy/class_priority.h
+++ b/src/policy/class_priority.h
@@ -64,9 +64,9 @@
   const Deployment& deployment_;
   const LatencyTracker& latencies_;
   std::vector<ServiceStatistics> services_;
-  std::deque<std::size_t> class_arrivals_;  // services of the last requests: their request classes
-  std::deque<std::size_t>
-      tenant_arrivals_;       // services of the last requests of configured tenants: the tenants
+  // The services of the last requests: of each its request class, and its tenant if that is configured.
+  std::deque<std::size_t> class_arrivals_;
+  std::deque<std::size_t> tenant_arrivals_;
   std::deque<double> ranks_;  // of the last requests, where responses report load
 };
 
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -10,8 +10,8 @@
 
 // Share of its latency objective that a request may spend in flight on average.
 constexpr double kObjectiveShare = 0.6;
-// How many times its calm latency a request may spend in flight on average.
-constexpr double kCalmFactor = 1.9;
+// How many times its unloaded latency a request may spend in flight on average.
+constexpr double kMaxLatencyRatio = 1.9;
 // Requests in flight for each endpoint, of all instances together, that are always admitted.
 constexpr double kFloorPerEndpoint = 5;
 constexpr double kStartupFloorPerEndpoint = 8;  // twice the initial learned capacity of an endpoint
@@ -58,22 +58,23 @@
 bool ConcurrencyLimit::is_under_rates(const RequestState& request) const {
   const std::vector<ServiceStatistics>& services = inputs_.priority.services();
   double load_by_objective = 0;
-  double load_by_calm = 0;
+  double load_by_unloaded_latency = 0;
   for (std::size_t service = 0; service < services.size(); ++service) {
     // The load of a request counts once for its class and once for its tenant. Classes are added up, and
     // isolated services, which have their own limit, are subtracted.
     int class_sign = service < inputs_.priority.class_count() ? 1 : 0;
     int sign = class_sign - (services[service].is_isolated ? 1 : 0);
     load_by_objective += sign * loads_[service].by_objective;
-    load_by_calm += sign * loads_[service].by_calm;
+    load_by_unloaded_latency += sign * loads_[service].by_unloaded_latency;
   }
   double objective_s = inputs_.deployment.request_classes[request.class_index].latency_objective_s;
   load_by_objective += request.capacity_draw / (kObjectiveShare * objective_s);
-  load_by_calm += request.capacity_draw / inputs_.latencies.calm_latency_s(request.class_index);
-  // The calm load is compared with the best rate of a long time: this limit lowers the recent rate, and so
-  // would go on lowering itself.
+  load_by_unloaded_latency +=
+      request.capacity_draw / inputs_.latencies.unloaded_latency_s(request.class_index);
+  // The load by unloaded latency is compared with the best rate of a long time: this limit lowers the recent
+  // rate, and so would go on lowering itself.
   return load_by_objective < inputs_.completions.recent_per_s() &&
-         load_by_calm < kCalmFactor * inputs_.completions.best_per_s();
+         load_by_unloaded_latency < kMaxLatencyRatio * inputs_.completions.best_per_s();
 }
 
 void ConcurrencyLimit::acquire(RequestState& request) {
@@ -82,8 +83,8 @@
   }
   request.counts_as_load = true;
   double objective_s = inputs_.deployment.request_classes[request.class_index].latency_objective_s;
-  request.load_weight = 1 / (kObjectiveShare * objective_s);
-  request.calm_load_weight = 1 / inputs_.latencies.unloaded_latency_s(request.class_index);
+  request.load_by_objective = 1 / (kObjectiveShare * objective_s);
+  request.load_by_unloaded_latency = 1 / inputs_.latencies.unloaded_latency_s(request.class_index);
   add(request, 1);
 }
 
@@ -98,8 +99,8 @@
 void ConcurrencyLimit::add(const RequestState& request, int sign) {
   in_flight_ += sign;
   for (std::size_t service : request.services) {
-    loads_[service].by_objective += sign * request.load_weight;
-    loads_[service].by_calm += sign * request.calm_load_weight;
+    loads_[service].by_objective += sign * request.load_by_objective;
+    loads_[service].by_unloaded_latency += sign * request.load_by_unloaded_latency;
   }
 }
 
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -39,8 +39,8 @@
  private:
   // The response rates, in requests a second, that the requests in flight of one service need.
   struct Load {
-    double by_objective = 0;  // to complete within kObjectiveShare of their latency objectives
-    double by_calm = 0;       // to complete within their calm latencies
+    double by_objective = 0;         // to complete within kObjectiveShare of their latency objectives
+    double by_unloaded_latency = 0;  // to complete within their unloaded latencies
   };
 
   // Whether so few requests are in flight that one more is admitted whatever the rates are.
--- a/src/policy/concurrency_limit_behavior_test.cpp
+++ b/src/policy/concurrency_limit_behavior_test.cpp
@@ -113,7 +113,7 @@
   return sent_at_once(host, 60);
 }
 
-TEST(ConcurrencyLimit, AdmitsMoreTrafficAtCalmLatency) { EXPECT_GE(sent_after_traffic_rise(0.05), 2U); }
+TEST(ConcurrencyLimit, AdmitsMoreTrafficAtUnloadedLatency) { EXPECT_GE(sent_after_traffic_rise(0.05), 2U); }
 
 TEST(ConcurrencyLimit, AdmitsNoMoreTrafficAtHigherLatency) {
   EXPECT_LE(sent_after_traffic_rise(0.3), sent_after_traffic_rise(0.05));
--- a/src/policy/concurrency_limit_test.cpp
+++ b/src/policy/concurrency_limit_test.cpp
@@ -103,7 +103,7 @@
   }
 
   // At 100 responses a second, the recent rate admits 60 requests (0.6 of the latency objective of 1 s) and
-  // the best rate 47.5 (1.9 calm latencies of 0.25 s). The lower limit counts.
+  // the best rate 47.5 (1.9 unloaded latencies of 0.25 s). The lower limit counts.
   acquire_capacity(47);
   EXPECT_TRUE(has_capacity());
 
--- a/src/policy/endpoint_transitions.cpp
+++ b/src/policy/endpoint_transitions.cpp
@@ -11,7 +11,7 @@
 namespace puffinvane {
 
 const std::array<BackupRequestPolicy::HealthTransition, 10> BackupRequestPolicy::kHealthTransitions = {{
-    {Health::Removed, HealthEvent::Listed, Health::Healthy, &BackupRequestPolicy::end_absence},
+    {Health::Removed, HealthEvent::Listed, Health::Healthy, &BackupRequestPolicy::end_outage},
     {Health::Healthy, HealthEvent::FailureDetected, Health::Ejected, &BackupRequestPolicy::eject},
     {Health::Healthy, HealthEvent::Unlisted, Health::Removed, &BackupRequestPolicy::unlist},
     {Health::Ejected, HealthEvent::EjectionEnded, Health::Recovering, &BackupRequestPolicy::begin_recovery},
@@ -19,8 +19,8 @@
      &BackupRequestPolicy::begin_recovery},
     {Health::Ejected, HealthEvent::Unlisted, Health::Removed, &BackupRequestPolicy::unlist},
     {Health::Recovering, HealthEvent::ResponseReceived, Health::Recovering,
-     &BackupRequestPolicy::widen_recovery},
-    {Health::Recovering, HealthEvent::RecoveryCompleted, Health::Healthy, &BackupRequestPolicy::end_absence},
+     &BackupRequestPolicy::raise_recovery_limit},
+    {Health::Recovering, HealthEvent::RecoveryCompleted, Health::Healthy, &BackupRequestPolicy::end_outage},
     {Health::Recovering, HealthEvent::FailureDetected, Health::Ejected, &BackupRequestPolicy::eject},
     {Health::Recovering, HealthEvent::Unlisted, Health::Removed, &BackupRequestPolicy::unlist},
 }};
@@ -58,11 +58,11 @@
   target.responses.clear_samples();
 }
 
-void BackupRequestPolicy::widen_recovery(Endpoint&, AttemptTarget& target) {
+void BackupRequestPolicy::raise_recovery_limit(Endpoint&, AttemptTarget& target) {
   OutlierEjection::raise_recovery_limit(target.ejection);
 }
 
-void BackupRequestPolicy::end_absence(Endpoint&, AttemptTarget& target) {
+void BackupRequestPolicy::end_outage(Endpoint&, AttemptTarget& target) {
   OutlierEjection::end_outage(target.ejection, now_);
 }
 
@@ -131,14 +131,14 @@
   std::size_t class_index = request.class_index;
   ResponseObservation observation;
   observation.sample.completed_at_s = now_;
-  observation.sample.latency_ratio = end.latency_s / latencies_.calm_latency_s(class_index);
+  observation.sample.latency_ratio = end.latency_s / latencies_.unloaded_latency_s(class_index);
   observation.sample.depth = attempt.depth;
   observation.sample.in_time = end.latency_s <= latencies_.hedge_threshold_s(class_index);
   observation.request_latency_s = now_ - request.attempts.front().sent_at;
   observation.sent_before_stall = attempt.sent_at < last_stall_end_;
-  bool shows_lag = end.outcome == Outcome::Delivered || end.outcome == Outcome::TimedOut;
-  if (deployment_.responses_report_load && !observation.sent_before_stall && shows_lag) {
-    fleet_load_.record_lag(now_, end.latency_s / class_of(request).latency_objective_s);
+  bool shows_latency = end.outcome == Outcome::Delivered || end.outcome == Outcome::TimedOut;
+  if (deployment_.responses_report_load && !observation.sent_before_stall && shows_latency) {
+    fleet_load_.record_latency(now_, end.latency_s / class_of(request).latency_objective_s);
   }
   switch (end.outcome) {
     case Outcome::Delivered: record_delivery(endpoint, request, observation); return;
@@ -159,7 +159,7 @@
   bool is_pending = request.phase != RequestPhase::Finished;
   std::array<AttemptTarget*, 2> targets = {&endpoint.whole, &endpoint.by_class[request.class_index]};
   for (AttemptTarget* target : targets) {
-    target->responses.record_response_time(now_);
+    target->responses.record_response_at(now_);
     if (!observation.sent_before_stall) {
       target->responses.record_sample(observation.sample);
     }
@@ -188,7 +188,7 @@
                                        ResponseObservation observation) {
   observation.sample.failed = true;
   for (AttemptTarget* target : {&endpoint.whole, &endpoint.by_class[request.class_index]}) {
-    target->responses.record_response_time(now_);
+    target->responses.record_response_at(now_);
     target->responses.record_sample(observation.sample);
   }
   // If no tier is behind the endpoint, the endpoint itself caused the error, possibly only for this request
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -14,11 +14,14 @@
 // endpoint gets no hedge.
 constexpr double kMaxDepthShare = 0.85;
 constexpr double kMaxErrorRatio = 0.01;
-constexpr std::size_t kLatenessLimit = 40;      // requests whose lateness is kept
-constexpr double kSharedLatenessShare = 0.25;   // of them late: more is a shared cause
-constexpr double kSlowEndpointThreshold = 1.5;  // slowness, in calm latencies, from which an endpoint is slow
-constexpr double kGraceThresholds = 2;          // hedge thresholds that an endpoint which isn't slow may take
-constexpr double kMaxRecheckThresholds = 4;     // hedge thresholds after which no recheck is made
+// Lateness is shared if more than this share of the last kLatenessLimit requests was late.
+constexpr std::size_t kLatenessLimit = 40;
+constexpr double kSharedLatenessShare = 0.25;
+// From this slowness on, as a multiple of the unloaded latency, an endpoint is slow.
+constexpr double kSlowEndpointThreshold = 1.5;
+// Hedge thresholds that an endpoint which isn't slow may take, and after which no recheck is made.
+constexpr double kGraceThresholds = 2;
+constexpr double kMaxRecheckThresholds = 4;
 
 // Names of the counts in the log, by Outcome.
 constexpr std::array<std::string_view, 6> kOutcomeNames = {"hedges sent",         "target errors",
--- a/src/policy/hedging_test.cpp
+++ b/src/policy/hedging_test.cpp
@@ -38,7 +38,7 @@
 }
 
 TEST_F(HedgingTest, RechecksIfEndpointHasRespondedSince) {
-  endpoint_.whole.responses.record_response_time(101);
+  endpoint_.whole.responses.record_response_at(101);
 
   EXPECT_EQ(decide(102.5), Decision::Recheck);
 }
--- a/src/policy/periodic_work.cpp
+++ b/src/policy/periodic_work.cpp
@@ -29,7 +29,8 @@
 void BackupRequestPolicy::on_tick() {
   start_tick_timer(CompletionRate::kTickSeconds);
   bool is_starting_up = now_ < started_at_ + ConcurrencyLimit::kStartupSeconds;
-  fleet_load_.update(now_, is_starting_up ? FleetLoad::Rates::New : FleetLoad::Rates::Known);
+  fleet_load_.update(
+      now_, is_starting_up ? FleetLoad::ReportedRates::Unsettled : FleetLoad::ReportedRates::Settled);
   if (deployment_.tier == 0 && prioritized_sequence_ != queue_.last_sequence()) {
     prioritized_sequence_ = queue_.last_sequence();
     priority_.update(now_);
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -38,13 +38,13 @@
   // The number of requests enqueued so far, which is the sequence number of the last one.
   std::uint64_t last_sequence() const { return last_sequence_; }
 
-  // The queue timeout: a request that is sent at its end, to endpoints with calm latency, still completes
-  // well within its latency objective.
-  static double timeout_s(double latency_objective_s, double calm_latency_s) {
+  // The queue timeout, in seconds. A request that is sent when it ends, and whose attempt takes the unloaded
+  // latency, still completes well within its latency objective.
+  static double timeout_s(double latency_objective_s, double unloaded_latency_s) {
     constexpr double kMinObjectiveShare = 0.2;
     constexpr double kMaxObjectiveShare = 0.8;
     return std::max(kMinObjectiveShare * latency_objective_s,
-                    kMaxObjectiveShare * latency_objective_s - 2 * calm_latency_s);
+                    kMaxObjectiveShare * latency_objective_s - 2 * unloaded_latency_s);
   }
 
  private:
--- a/src/policy/request_queue_test.cpp
+++ b/src/policy/request_queue_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(queue.last_sequence(), 1U);
 }
 
-TEST(RequestQueue, TimeoutLeavesTimeForTwoCalmLatencies) {
+TEST(RequestQueue, TimeoutLeavesTimeForTwoUnloadedLatencies) {
   EXPECT_DOUBLE_EQ(RequestQueue::timeout_s(1, 0.1), 0.6);
 }
 
--- a/src/policy/retry_safety.cpp
+++ b/src/policy/retry_safety.cpp
@@ -51,8 +51,8 @@
 
 bool RetrySafety::may_reject(const RequestState& request) const {
   const RequestClass& request_class = class_of(request);
-  bool is_keyed_at_all_endpoints =
-      request_class.idempotency == Idempotency::Keyed && request_class.group == Group::All;
+  bool is_keyed_at_all_endpoints = request_class.idempotency == Idempotency::Keyed &&
+                                   request_class.idempotency_scope == IdempotencyScope::All;
   return is_keyed_at_all_endpoints || request_class.idempotency == Idempotency::Safe ||
          cannot_have_run(request);
 }
