--- a/src/proxy/request_forwarder.cpp
+++ b/src/proxy/request_forwarder.cpp
@@ -112,8 +112,9 @@
   if (client_may_have_left(id)) return report_attempt_end_soon(id, number, Outcome::NotSent);
   // A body whose first part was sent and released can't be sent again. NotSent blames no endpoint for that.
   if (request.body_consumed) return report_attempt_end_soon(id, number, Outcome::NotSent);
-  if (auto failure = send_attempt({id, number}, request.attempts.back().endpoint))
+  if (auto failure = send_attempt({id, number}, request.attempts.back().endpoint)) {
     report_attempt_end_soon(id, number, *failure);
+  }
 }
 
 std::unique_ptr<UpstreamConnection> RequestForwarder::take_reusable(UpstreamConnection::AttemptId attempt,
@@ -475,8 +476,9 @@
   keep_or_close(take_busy(upstream));
   PendingAttempt& attempt = requests_.find(id)->attempts[std::size_t(number)];
   attempt.upstream = nullptr;
-  if (attempt.reused_after_idle_s)
+  if (attempt.reused_after_idle_s) {
     idle_reuse_.record(*attempt.reused_after_idle_s, outcome == Outcome::Stale);
+  }
   report_attempt_end(id, number, outcome, &response);
 }
 
@@ -508,8 +510,9 @@
   if (!request || request->attempts[std::size_t(number)].reported) return;
   request->attempts[std::size_t(number)].reported = true;
   double now = loop_.now();
-  if (outcome == Outcome::Delivered)
+  if (outcome == Outcome::Delivered) {
     conclude(id, options_.relay_any_status ? response->status : 200, response, "", "");
+  }
   Load load = response ? parse_load(response->header("X-Backend-Load")) : Load();
   if (options_.relay_any_status && outcome == Outcome::Failed && response && response->status > 0 &&
       !request->concluded())
@@ -791,8 +794,9 @@
 void RequestForwarder::remove_listed(const std::string& endpoint) {
   without_address_.erase(endpoint);
   if (listed_.erase(endpoint) == 0) return;
-  if (std::find(recently_removed_.begin(), recently_removed_.end(), endpoint) == recently_removed_.end())
+  if (std::find(recently_removed_.begin(), recently_removed_.end(), endpoint) == recently_removed_.end()) {
     recently_removed_.push_back(endpoint);
+  }
   if (recently_removed_.size() > kMaxRecentlyRemoved) recently_removed_.pop_front();
 }
 
--- a/src/proxy/request_forwarder.h
+++ b/src/proxy/request_forwarder.h
@@ -48,12 +48,14 @@
                    PolicyFactory make, ForwarderOptions options = {});
   ~RequestForwarder() override;
 
-  void load_cached_list(const EndpointList& cached);  // a list kept from earlier, until discovery answers
-  void begin_shutdown(double deadline);  // every request, also a pending one, has to end by `deadline`
-  // Called when no more requests are forwarded to it. Hands its idle connections, and others once their
-  // attempts end, to the successors in turn. Once can_be_destroyed(), nothing calls it any more.
+  // Uses a list that was kept from earlier, until discovery answers.
+  void load_cached_list(const EndpointList& cached);
+  // From now on every request has to end by `deadline`, those that are pending already included.
+  void begin_shutdown(double deadline);
+  // To be called once no more requests are forwarded to it. Distributes its idle connections over the
+  // successors, and busy ones as soon as their attempts end.
   void retire(const std::vector<RequestForwarder*>& successors);
-  bool can_be_destroyed() const;
+  bool can_be_destroyed() const;  // retired, with no request and no timer of a request left
   // Takes over what another forwarder's policy has learned. rate_share: the part of that one's requests that
   // comes here from now on.
   void import_learned_state(const LearnedState& earlier, double rate_share) {
@@ -71,7 +73,8 @@
   std::size_t listed_endpoint_count() const { return listed_.size(); }
   EndpointList endpoint_list() const;  // the endpoints listed now, as one snapshot
   std::int64_t list_index() const { return list_index_; }
-  // Sets this instance's share of each endpoint, and its position among all instances.
+  // Sets this instance's share of each endpoint, which the policy takes for the endpoint's weight, and its
+  // position among all instances.
   void set_endpoint_shares(std::map<std::string, double, std::less<>> shares, int instance_index,
                            int instance_count);
   // Listed endpoints that get no attempts.
@@ -89,7 +92,8 @@
 
   // Whether a request with this client-assigned id is pending.
   bool has_pending_request(std::string_view client_id) const { return requests_.has_client_id(client_id); }
-  // remaining_time_s: for how long the client still waits.
+  // Makes a pending request of it and tells the policy. remaining_time_s: for how long the client still
+  // waits.
   void forward(DownstreamConnection& downstream, HttpMessage message, const RequestClass& request_class,
                double remaining_time_s);
 
@@ -105,18 +109,18 @@
   };
 
   // Host, called by the policy.
-  void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override;
-  void cancel_attempt(RequestId request, int number) override;
-  void reject_request(RequestId request, double retry_after_s) override;
-  void fail_request(RequestId request) override;
+  void start_attempt(RequestId id, std::string_view endpoint, double attempt_deadline) override;
+  void cancel_attempt(RequestId id, int number) override;
+  void reject_request(RequestId id, double retry_after_s) override;
+  void fail_request(RequestId id) override;
   void schedule_timer(double due_at, std::uint64_t token) override;
   void poll_endpoint_list() override {}  // the discovery watch never stops
   void log(std::string_view text) override;
 
   // DownstreamConnection::RequestOwner
-  void on_client_disconnected(RequestId request) override;
-  void on_body_part(RequestId request, BufferChain bytes, bool whole) override;
-  void on_response_drained(RequestId request) override;
+  void on_client_disconnected(RequestId id) override;
+  void on_body_part(RequestId id, BufferChain bytes, bool whole) override;
+  void on_response_drained(RequestId id) override;
 
   // UpstreamConnection::Owner
   BufferChain on_ready_to_send(UpstreamConnection& upstream) override;
@@ -204,8 +208,8 @@
   // Connections being established without an attempt, by endpoint. No list is empty.
   std::map<std::string, std::vector<std::unique_ptr<UpstreamConnection>>> spares_;
   IdleReuseHistory idle_reuse_;
-  std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>>
-      busy_;  // with an attempt
+  // Connections that carry an attempt or are being established for one.
+  std::unordered_map<const UpstreamConnection*, std::unique_ptr<UpstreamConnection>> busy_;
   LifetimeToken alive_;
   std::unique_ptr<Policy> policy_;
 };
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -158,8 +158,9 @@
   if (!reader_.is_complete()) {
     if (first) watch_response(assigned_at_);  // most responses arrive whole at once and need no timer
     if (state_ == State::Relaying) {
-      if (BufferChain part = reader_.take_body_part(); !part.empty())
+      if (BufferChain part = reader_.take_body_part(); !part.empty()) {
         owner_->on_response_part(*this, std::move(part));
+      }
     } else if (must_relay_response()) {
       // A long response is not relayed while the request is still being written, nor one that reports an
       // error: the attempt fails instead.
