--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -105,7 +105,7 @@
                                                              &HttpReader::handle_trailer_line};
 
 std::size_t HttpReader::feed(std::string_view bytes) {
-  std::size_t all = bytes.size();
+  const std::size_t received = bytes.size();
   while (!bytes.empty() && state_ != State::Complete && state_ != State::Failed) {
     if (state_ == State::Body || state_ == State::Chunk || state_ == State::BodyToEnd) {
       std::size_t count = state_ == State::BodyToEnd ? bytes.size() : std::min(bytes.size(), left_);
@@ -137,7 +137,7 @@
     (this->*handle_line)();
     line_.clear();
   }
-  return all - bytes.size();
+  return received - bytes.size();
 }
 
 void HttpReader::end_of_input() {
@@ -178,18 +178,21 @@
 
 void HttpReader::handle_request_line() {
   std::string_view line = line_;
-  std::size_t first = line.find(' '), last = line.rfind(' ');
+  const std::size_t first = line.find(' ');
+  const std::size_t last = line.rfind(' ');
   if (first == std::string_view::npos || first == last) return fail(Fault::Malformed);
-  std::string_view method = line.substr(0, first), target = line.substr(first + 1, last - first - 1);
+  std::string_view method = line.substr(0, first);
+  std::string_view target = line.substr(first + 1, last - first - 1);
   std::string_view version = line.substr(last + 1);
-  bool known = version == "HTTP/1.1" || version == "HTTP/1.0";
+  bool is_known_version = version == "HTTP/1.1" || version == "HTTP/1.0";
   // The absolute form, which clients use towards a proxy, is reduced to path and query.
   if (std::size_t scheme = target.find("://");
       scheme != std::string_view::npos && is_token(target.substr(0, scheme))) {
     std::size_t path = target.find_first_of("/?", scheme + 3);
     target = path == std::string_view::npos ? "/" : target.substr(path);
   }
-  if (!is_token(method) || target.empty() || target.front() != '/' || !known) return fail(Fault::Malformed);
+  if (!is_token(method) || target.empty() || target.front() != '/' || !is_known_version)
+    return fail(Fault::Malformed);
   if (target.find_first_of(" \t") != std::string_view::npos) return fail(Fault::Malformed);
   message_.method = method;
   message_.target = target;
@@ -200,12 +203,12 @@
 
 void HttpReader::handle_status_line() {
   std::string_view line = line_;
-  bool known = line.starts_with("HTTP/1.1 ") || line.starts_with("HTTP/1.0 ");
-  if (!known || line.size() < 12 || (line.size() > 12 && line[12] != ' ')) return fail(Fault::Malformed);
+  bool is_known_version = line.starts_with("HTTP/1.1 ") || line.starts_with("HTTP/1.0 ");
+  if (!is_known_version || line.size() < 12 || (line.size() > 12 && line[12] != ' '))
+    return fail(Fault::Malformed);
   if (!parse_integer(line.substr(9, 3), message_.status) || message_.status < 100)
     return fail(Fault::Malformed);
-  // A status line that was cut off and is followed by the response to the next request: its owner is
-  // ambiguous.
+  // A truncated status line followed by another response: it is ambiguous which one belongs to this request.
   if (line.find("HTTP/", 1) != std::string_view::npos) return fail(Fault::Malformed);
   message_.keep_alive = line[7] == '1';
   state_ = State::Headers;
@@ -247,11 +250,12 @@
     state_ = State::StartLine;
     return;
   }
-  bool bodiless = side_ == Side::Response && (no_body_ || message_.status == 204 || message_.status == 304);
-  if (sized && size > max_body_ && !bodiless) return fail(Fault::BodyTooLarge);
-  if (sized && !bodiless) content_length_ = size;
+  bool has_no_body =
+      side_ == Side::Response && (no_body_ || message_.status == 204 || message_.status == 304);
+  if (sized && size > max_body_ && !has_no_body) return fail(Fault::BodyTooLarge);
+  if (sized && !has_no_body) content_length_ = size;
   left_ = size;
-  if (bodiless) state_ = State::Complete;
+  if (has_no_body) state_ = State::Complete;
   else if (chunked) {
     state_ = State::ChunkSize;
     head_bytes_ = 0;
--- a/src/proxy/downstream_connections.cpp
+++ b/src/proxy/downstream_connections.cpp
@@ -8,19 +8,23 @@
 namespace puffinvane {
 
 namespace {
-// Seconds between two checks of all timeouts; the timeouts of DownstreamConnection leave no slack for more.
+// Seconds between two checks of all timeouts. With a longer interval, the 408 of a client that has stopped
+// would come later than clients are promised.
 constexpr double kTimeoutCheckInterval = 0.05;
-// Seconds that a connection without a whole request may be silent before it can be closed to make room: with
-// a fixed maximum of connections, whose callers send whole requests in less;
+// Seconds that a connection without a whole request may be silent before it can be closed to make room:
+// - if the number of connections is fixed, as whole requests take no longer there;
 constexpr double kMaxSilenceAtFixedLimit = 0.02;
-// otherwise, if a part of its first request has been read;
+// - otherwise, if part of its first request has been read;
 constexpr double kMaxSilenceWithinRequest = 0.3;
-// and if nothing has been read.
+// - or if nothing has been read.
 constexpr double kMaxSilenceBeforeRequest = 0.1;
-constexpr double kResponseReadTime = 0.5;  // seconds after which a response has reached its client
-constexpr double kMinLinger = 0.02;        // seconds for input that is in transit when a connection is closed
-constexpr double kReclaimInterval = 0.005;  // seconds between two searches for connections to close
-// Part of the connection limit that is freed ahead of need, and its upper bound.
+// Seconds after which a response is taken to have reached its client.
+constexpr double kResponseReadTime = 0.5;
+// Seconds for input that is in transit when a connection is shut down.
+constexpr double kMinLinger = 0.02;
+// Seconds between two searches for connections to close.
+constexpr double kReclaimInterval = 0.005;
+// Connections freed ahead of need: the limit divided by kSpareDivisor, at most kMaxSpare.
 constexpr std::size_t kSpareDivisor = 8;
 constexpr std::size_t kMaxSpare = 64;
 }  // namespace
@@ -50,6 +54,7 @@
 void DownstreamConnections::on_accepted(Ref<GSocket> socket, int listener, double waited) {
   add(std::move(socket), listener, waited, false);
 }
+
 void DownstreamConnections::take_over(Ref<GSocket> socket, bool has_sent_request) {
   add(std::move(socket), 0, 0, has_sent_request);
 }
--- a/src/proxy/downstream_connections.h
+++ b/src/proxy/downstream_connections.h
@@ -39,6 +39,7 @@
   // Offers the socket of each connection that is between two requests to `take`, which returns whether it has
   // taken the socket over. Stops at the first refusal.
   void hand_over(const std::function<bool(GSocket* client, bool has_sent_request)>& take);
+  // Adds a connection that a predecessor process has handed over.
   void take_over(Ref<GSocket> socket, bool has_sent_request);
 
   bool may_accept() override;
@@ -52,7 +53,7 @@
   double longest_client_timeout() const override { return longest_client_timeout_; }
   void add(Ref<GSocket> socket, int listener, double waited, bool has_sent_request);
   bool has_room();
-  void make_room();
+  void make_room();  // closes connections that have no request in flight, if few or none are left
   void check_all_timeouts();
 
   Loop& loop_;
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -60,7 +60,7 @@
                      [&](const Condition& one) { return is_met(one, request.fields); });
 }
 
-// The part of a path after a prefix, including its leading `/`; nothing if the prefix does not match.
+// The rest of a path after a prefix, including its leading `/`; nothing if the prefix does not match.
 std::optional<std::string_view> after_prefix(std::string_view prefix, std::string_view path) {
   if (!path.starts_with(prefix)) return {};
   std::string_view rest = path.substr(prefix.size());
@@ -124,17 +124,17 @@
   // A dot may also be written as %2e.
   for (std::size_t from = 0; from < path.size();) {
     std::size_t to = std::min(path.find('/', from), path.size());
-    std::string_view part = path.substr(from, to - from);
+    std::string_view segment = path.substr(from, to - from);
     int dots = 0;
-    while (!part.empty()) {
-      std::size_t size = part.front() == '.'                                       ? 1
-                         : part.size() >= 3 && same_name(part.substr(0, 3), "%2e") ? 3
-                                                                                   : 0;
+    while (!segment.empty()) {
+      std::size_t size = segment.front() == '.'                                          ? 1
+                         : segment.size() >= 3 && same_name(segment.substr(0, 3), "%2e") ? 3
+                                                                                         : 0;
       if (size == 0) break;
-      part.remove_prefix(size);
+      segment.remove_prefix(size);
       ++dots;
     }
-    if (part.empty() && (dots == 1 || dots == 2)) return true;
+    if (segment.empty() && (dots == 1 || dots == 2)) return true;
     from = to + 1;
   }
   return false;
@@ -185,10 +185,11 @@
     return any_host_root_ < 0 ? -1 : find_in_tree(any_host_root_, path, request);
   }
 
+  // The last pool also gets the draws above a sum of shares that is slightly less than one.
   int pool(int route, double draw) const {
     const auto& pools = destinations_[std::size_t(route)].pools;
-    for (const auto& [until, pool] : pools) {
-      if (draw < until) return pool;
+    for (const auto& [share_sum, pool] : pools) {
+      if (draw < share_sum) return pool;
     }
     return pools.back().second;
   }
@@ -254,15 +255,15 @@
     const bool is_prefix = added.match == Route::Path::Prefix;
     const bool is_below = is_prefix && path.ends_with('/');
     if (is_below) path.remove_suffix(1);
-    int at = root;
+    int node_index = root;
     for (std::size_t from = 1; from <= path.size() && !path.empty();) {
       std::size_t to = std::min(path.find('/', from), path.size());
-      auto [edge, is_new] = edges_.try_emplace({at, path.substr(from, to - from)}, -1);
+      auto [edge, is_new] = edges_.try_emplace({node_index, path.substr(from, to - from)}, -1);
       if (is_new) edge->second = add_node();
-      at = edge->second;
+      node_index = edge->second;
       from = to + 1;
     }
-    Node& node = nodes_[std::size_t(at)];
+    Node& node = nodes_[std::size_t(node_index)];
     Bucket& bucket = !is_prefix ? node.exact : is_below ? node.below : node.prefix;
     bucket.push_back(i);
   }
