--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -255,14 +255,17 @@
   if (sized && size > max_body_ && !has_no_body) return fail(Fault::BodyTooLarge);
   if (sized && !has_no_body) content_length_ = size;
   left_ = size;
-  if (has_no_body) state_ = State::Complete;
-  else if (chunked) {
+  if (has_no_body) {
+    state_ = State::Complete;
+  } else if (chunked) {
     state_ = State::ChunkSize;
     head_bytes_ = 0;
   } else if (side_ == Side::Response && !sized) {
     state_ = State::BodyToEnd;
     message_.keep_alive = false;
-  } else state_ = size == 0 ? State::Complete : State::Body;
+  } else {
+    state_ = size == 0 ? State::Complete : State::Body;
+  }
 }
 
 void HttpReader::handle_chunk_size_line() {
@@ -369,8 +372,11 @@
   if (close) head.append("Connection: close\r\n");
   out.add(head.append("\r\n"));
   if (!sized || is_head_request) return;
-  if (from) out.add(from->body);
-  else out.add(text);
+  if (from) {
+    out.add(from->body);
+  } else {
+    out.add(text);
+  }
 }
 
 }  // namespace puffinvane
--- a/src/proxy/downstream_connection.cpp
+++ b/src/proxy/downstream_connection.cpp
@@ -238,8 +238,11 @@
 void DownstreamConnection::send_body_part(BufferChain bytes) {
   if (state_ != State::StreamingResponse || bytes.empty()) return;
   BufferChain out(loop_.pool());
-  if (chunks_response_) write_chunk(out, bytes);
-  else out = std::move(bytes);
+  if (chunks_response_) {
+    write_chunk(out, bytes);
+  } else {
+    out = std::move(bytes);
+  }
   last_progress_ = loop_.now();
   tcp_.send(std::move(out));
 }
--- a/src/proxy/downstream_connections.cpp
+++ b/src/proxy/downstream_connections.cpp
@@ -133,8 +133,11 @@
     // If a request crosses the close of an idle connection, the connection is reset and a response that the
     // client has not read yet is lost. So it is closed at once only after time enough to read the response.
     bool close_at_once = rank != Idle || (!has_room() && now - since > kResponseReadTime);
-    if (close_at_once) downstream->close();
-    else downstream->close_gracefully();
+    if (close_at_once) {
+      downstream->close();
+    } else {
+      downstream->close_gracefully();
+    }
     ++free;
   }
 }
@@ -154,8 +157,11 @@
     if (downstream->listener() == listener) accepted.push_back(downstream.get());
   }
   for (DownstreamConnection* downstream : accepted) {
-    if (downstream->is_idle()) downstream->close_gracefully();
-    else downstream->close_after_next_response();
+    if (downstream->is_idle()) {
+      downstream->close_gracefully();
+    } else {
+      downstream->close_after_next_response();
+    }
   }
 }
 
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -223,7 +223,7 @@
   };
   using Hosts = std::unordered_map<std::string, int, HashText, std::equal_to<>>;
 
-  const Route& route(int i) const { return site_.routes[std::size_t(i)]; }
+  const Route& route(int index) const { return site_.routes[std::size_t(index)]; }
   bool takes_precedence(int one, int other) const {
     const Route &a = route(one), &b = route(other);
     if (a.methods.empty() != b.methods.empty()) return b.methods.empty();
@@ -231,24 +231,24 @@
     return one < other;
   }
 
-  void add(int i) {
-    const Route& added = route(i);
-    if (added.hosts.empty()) add_to_tree(any_host_root_, i);
+  void add(int index) {
+    const Route& added = route(index);
+    if (added.hosts.empty()) add_to_tree(any_host_root_, index);
     for (const std::string& host : added.hosts) {
       bool wild = host.starts_with("*.");
       add_to_tree((wild ? wildcards_ : hosts_).try_emplace(wild ? host.substr(1) : host, -1).first->second,
-                  i);
+                  index);
     }
   }
   int add_node() {
     nodes_.emplace_back();
     return int(nodes_.size()) - 1;
   }
-  void add_to_tree(int& root, int i) {
+  void add_to_tree(int& root, int index) {
     if (root < 0) root = add_node();
-    const Route& added = route(i);
+    const Route& added = route(index);
     if (added.match == Route::Path::Any) {
-      nodes_[std::size_t(root)].any.push_back(i);
+      nodes_[std::size_t(root)].any.push_back(index);
       return;
     }
     std::string_view path = added.path;
@@ -265,7 +265,7 @@
     }
     Node& node = nodes_[std::size_t(node_index)];
     Bucket& bucket = !is_prefix ? node.exact : is_below ? node.below : node.prefix;
-    bucket.push_back(i);
+    bucket.push_back(index);
   }
   int first_match(const Bucket& bucket, const RequestHead& request) const {
     for (int i : bucket) {
