--- a/src/policy/backup_request_policy.h
+++ b/src/policy/backup_request_policy.h
@@ -90,7 +90,7 @@
 
   // ---- requests (request_transitions.cpp)
   void apply_event(RequestState& request, RequestEvent event);
-  void send_first_attempt(RequestState& request);
+  void send_queued_request(RequestState& request);
   void send_hedge(RequestState& request);
   void requeue(RequestState& request);
   void reject(RequestState& request);
--- a/src/policy/periodic_work.cpp
+++ b/src/policy/periodic_work.cpp
@@ -70,9 +70,9 @@
   std::vector<EndpointIndex> unused;
   for (EndpointIndex index : endpoints_.tracked()) {
     const Endpoint& endpoint = endpoints_[index];
-    bool is_idle = subset_.own_weight(index) == 0 && endpoint.whole.in_flight.empty() &&
-                   now_ > endpoint.last_used_at + kStatisticsRetentionSeconds;
-    if (is_idle && is_healthy(endpoint.whole) && std::ranges::all_of(endpoint.by_class, is_healthy)) {
+    bool is_unused = subset_.own_weight(index) == 0 && endpoint.whole.in_flight.empty() &&
+                     now_ > endpoint.last_used_at + kStatisticsRetentionSeconds;
+    if (is_unused && is_healthy(endpoint.whole) && std::ranges::all_of(endpoint.by_class, is_healthy)) {
       unused.push_back(index);
     }
   }
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -52,14 +52,16 @@
   double priority_percentile = 0;  // share of recent requests that rank behind it
   // Random, in [0, 1): decides whether it is admitted where the limit leaves room for a part of a request.
   double capacity_draw = 0;
-  double work_ratio = 1;         // its work as a multiple of a quarter of its latency objective, 1 to 4
-  double work_s = 0;             // expected work in seconds of a standard core; 0: unknown
-  std::uint64_t key_hash = 0;    // 0: no key, or endpoints have no key affinity
-  bool counts_as_load = false;   // whether ConcurrencyLimit counts it, with the two weights below
-  double load_by_objective = 0;  // against the recent completion rate
-  double load_by_unloaded_latency = 0;  // against the best completion rate
+  double work_ratio = 1;        // its work as a multiple of a quarter of its latency objective, 1 to 4
+  double work_s = 0;            // expected work in seconds of a standard core; 0: unknown
+  std::uint64_t key_hash = 0;   // 0: no key, or endpoints have no key affinity
+  bool counts_as_load = false;  // whether ConcurrencyLimit counts it as load
+  // What it adds to the two loads of ConcurrencyLimit. The values are kept, so that release subtracts what
+  // acquire added.
+  double load_by_objective = 0;
+  double load_by_unloaded_latency = 0;
   std::vector<Attempt> attempts;
-  std::optional<EndpointIndex> hedge_target;  // set before HedgeDue is applied
+  std::optional<EndpointIndex> hedge_target;  // where the next hedge is sent; set before HedgeDue is applied
 };
 
 inline bool has_attempted(const RequestState& request, EndpointIndex endpoint) {
--- a/src/policy/request_transitions.cpp
+++ b/src/policy/request_transitions.cpp
@@ -10,7 +10,7 @@
 
 const std::array<BackupRequestPolicy::RequestTransition, 13> BackupRequestPolicy::kRequestTransitions = {{
     {RequestPhase::Queued, RequestEvent::CapacityAvailable, RequestPhase::InFlight,
-     &BackupRequestPolicy::send_first_attempt},
+     &BackupRequestPolicy::send_queued_request},
     {RequestPhase::Queued, RequestEvent::Reject, RequestPhase::Finished, &BackupRequestPolicy::reject},
     {RequestPhase::Queued, RequestEvent::Fail, RequestPhase::Finished, &BackupRequestPolicy::fail},
     {RequestPhase::Queued, RequestEvent::Concluded, RequestPhase::Finished, &BackupRequestPolicy::finish},
@@ -30,7 +30,7 @@
   apply_transition(kRequestTransitions, *this, request.phase, event, request);
 }
 
-void BackupRequestPolicy::send_first_attempt(RequestState& request) {
+void BackupRequestPolicy::send_queued_request(RequestState& request) {
   auto target = selection_.select(request, EndpointSelection::Strategy::LowestDepth, now_, random_);
   send(request, *target);
 }
