--- a/src/policy/backup_request_policy.cpp
+++ b/src/policy/backup_request_policy.cpp
@@ -81,11 +81,11 @@
   // its rejection. Where responses report load, requests are admitted at once or not at all.
   auto requests_ahead = double(queue_.count_ahead_of(accepted.queue_position));
   double sendable_requests = completions_.recent_per_s() * (accepted.queue_deadline - now);
-  bool would_expire_in_queue = deployment_.responses_report_load ||
-                               (completions_.recent_per_s() > 0 && requests_ahead > sendable_requests);
+  bool is_queueing_useless = deployment_.responses_report_load ||
+                             (completions_.recent_per_s() > 0 && requests_ahead > sendable_requests);
   RequestState& pending = requests_[request.id] = std::move(accepted);
   bool no_endpoint_left = !endpoints_.slots().empty() && endpoints_.listed_count() == 0;
-  if (no_endpoint_left || (would_expire_in_queue && !has_capacity_for(pending))) {
+  if (no_endpoint_left || (is_queueing_useless && !has_capacity_for(pending))) {
     apply_event(pending, reject_or_fail_event(pending));
     requests_.erase(request.id);
   }
--- a/src/policy/retry_safety_behavior_test.cpp
+++ b/src/policy/retry_safety_behavior_test.cpp
@@ -11,8 +11,8 @@
 namespace puffinvane::test {
 namespace {
 
-const std::vector<ListEntry> kOneEndpointEachZone = {endpoint("near"),
-                                                     endpoint("far").in_zone("there").in_cell(2)};
+const std::vector<ListEntry> kOneEndpointPerZone = {endpoint("near"),
+                                                    endpoint("far").in_zone("there").in_cell(2)};
 
 struct LostAttempt {
   std::string request_class;
@@ -26,7 +26,7 @@
 class AfterLostAttempt : public testing::TestWithParam<LostAttempt> {
  protected:
   AfterLostAttempt() {
-    host_.list_endpoints(kOneEndpointEachZone);
+    host_.list_endpoints(kOneEndpointPerZone);
     request_ = host_.receive(request_of_class(GetParam().request_class));
     host_.run_for(0.1);
     host_.end_attempt(host_.sent().at(0), GetParam().outcome);
@@ -118,7 +118,7 @@
 
 TEST(RetrySafety, RetriesKeyedRequestAtOnlyEndpointOfItsZone) {
   FakeHost host{deployment()};
-  host.list_endpoints(kOneEndpointEachZone);
+  host.list_endpoints(kOneEndpointPerZone);
   RequestId request = host.receive(request_of_class("tagged"));
   host.run_for(0.1);
 
@@ -131,7 +131,7 @@
 // The refusal of the second attempt doesn't show that the first one did not run.
 TEST(RetrySafety, RetriesKeyedRequestInItsZoneAfterItsRetryIsRefused) {
   FakeHost host{deployment()};
-  host.list_endpoints(kOneEndpointEachZone);
+  host.list_endpoints(kOneEndpointPerZone);
   RequestId request = host.receive(request_of_class("tagged"));
   host.run_for(0.1);
   host.end_attempt(host.sent().at(0), Outcome::Failed);
@@ -143,7 +143,7 @@
 
 TEST(RetrySafety, PrefersOtherEndpointOfZoneForRetryOfKeyedRequest) {
   FakeHost host{deployment()};
-  host.list_endpoints(kOneEndpointEachZone);
+  host.list_endpoints(kOneEndpointPerZone);
   host.receive(request_of_class("tagged"));
   host.run_for(0.1);
   host.end_attempt(host.sent().at(0), Outcome::Failed);
