--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -1,5 +1,5 @@
-// Buffers of one size, used again: what comes in, goes out or waits is kept in them, so that a busy hour
-// leaves no torn heap behind in a process with a small memory limit.
+// Fixed-size buffers that are reused, and byte queues built from them. Reuse keeps heavy traffic from
+// fragmenting the heap of a process that runs with a small memory limit.
 #pragma once
 
 #include <array>
@@ -11,43 +11,49 @@
 
 namespace puffinvane {
 
+// Hands out fixed-size buffers and keeps a bounded number of returned ones for reuse. Must outlive its
+// buffers.
 class BufferPool {
  public:
-  static constexpr std::size_t kSize = 16 * 1024;
+  static constexpr std::size_t kSize = 16 * 1024;  // bytes in each buffer
   struct Block {
     std::array<char, kSize> bytes;
   };
-  struct GiveBack {
+  struct ReturnToPool {
     BufferPool* pool = nullptr;
     void operator()(Block* block) const { pool->take_back(block); }
   };
-  using Buffer = std::unique_ptr<Block, GiveBack>;
+  using Buffer = std::unique_ptr<Block, ReturnToPool>;
 
   Buffer acquire();
-  std::size_t in_use() const { return lent_; }
-  std::size_t free_count() const { return spare_.size(); }
+  std::size_t in_use() const { return in_use_; }
+  std::size_t free_count() const { return free_.size(); }
 
  private:
   void take_back(Block* block);
-  std::vector<std::unique_ptr<Block>> spare_;
-  std::size_t lent_ = 0;
+  std::vector<std::unique_ptr<Block>> free_;
+  std::size_t in_use_ = 0;
 };
 
-// Bytes in the order they were added, over as many buffers as they need.
+// A queue of bytes, stored in as many buffers as it needs.
 class BufferChain {
  public:
   explicit BufferChain(BufferPool& pool) : pool_(&pool) {}
   BufferChain(BufferChain&& other) noexcept;
   BufferChain& operator=(BufferChain&& other) noexcept;
 
+  // Each overload appends a copy; the last one copies `count` bytes that begin at offset `from`.
   void add(std::string_view bytes);
   void add(const BufferChain& other);
-  void add(const BufferChain& other, std::size_t from, std::size_t count);  // a part of it
+  void add(const BufferChain& other, std::size_t from, std::size_t count);
+  // The first bytes that are stored contiguously; empty only if the chain is.
   std::string_view front() const;
+  // Removes that many bytes from the front.
   void drop(std::size_t count);
   void clear();
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
+  // A copy of all bytes.
   std::string text() const;
 
  private:
@@ -55,7 +61,8 @@
 
   BufferPool* pool_;
   std::deque<BufferPool::Buffer> buffers_;
-  std::size_t from_ = 0, size_ = 0;  // from_: of the first buffer, already dropped
+  std::size_t front_offset_ = 0;  // bytes of the first buffer that were dropped
+  std::size_t size_ = 0;
 };
 
 }  // namespace puffinvane
--- a/src/net/glib.h
+++ b/src/net/glib.h
@@ -1,4 +1,4 @@
-// Owners for what GLib counts or needs destroyed: nothing is released by hand.
+// RAII wrappers for GLib objects, errors and event sources.
 #pragma once
 
 #include <gio/gio.h>
@@ -19,14 +19,17 @@
 };
 using Error = std::unique_ptr<GError, FreeError>;
 
-// An attached source; destroyed with its owner, so that no callback outlives what it points to.
+// Owns an attached source and destroys it, so that its callback is never called after the owner is gone.
 class Source {
  public:
   Source() = default;
   explicit Source(GSource* source) : source_(source) {}
   Source(Source&& other) noexcept : source_(std::exchange(other.source_, nullptr)) {}
   Source& operator=(Source&& other) noexcept {
-    if (this != &other) reset(), source_ = std::exchange(other.source_, nullptr);
+    if (this != &other) {
+      reset();
+      source_ = std::exchange(other.source_, nullptr);
+    }
     return *this;
   }
   ~Source() { reset(); }
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,5 @@
-// Log lines on an ostream, behind a level. Nothing is logged for a single request below Debug.
+// A log with levels that writes lines to an ostream. Messages about a single request are only logged at
+// Debug.
 #pragma once
 
 #include <concepts>
@@ -14,15 +15,18 @@
 namespace puffinvane {
 
 enum class Level { Error, Warning, Info, Debug };
-enum class LogFormat { Plain, Json };  // Json: an object a line
+enum class LogFormat { Plain, Json };  // Json: each line is one object
 
 class Log {
  public:
-  // output: what `out` writes to, where lines may be dropped rather than block.
-  Log(std::ostream& out, Level most, LogFormat format = LogFormat::Plain, const LogOutput* output = nullptr)
-      : out_(out), most_(most), format_(format), output_(output) {}
+  // most_verbose: the last level that is logged. output: the stream buffer behind `out` if that may drop
+  // lines; dropped_lines() reads its count.
+  Log(std::ostream& out, Level most_verbose, LogFormat format = LogFormat::Plain,
+      const LogOutput* output = nullptr)
+      : out_(out), most_verbose_(most_verbose), format_(format), output_(output) {}
 
-  // One line: ends itself, and costs nothing but the test where its level is filtered out.
+  // One free-text line; its destructor writes the line end. Nothing is formatted if the level is filtered
+  // out.
   class Line {
    public:
     Line(Log* log, Level level);
@@ -39,10 +43,10 @@
    private:
     Log* log_;
     Level level_;
-    std::optional<std::ostringstream> text_;  // held until its end, to be quoted
+    std::optional<std::ostringstream> text_;  // JSON only: the whole text, as it has to be quoted
   };
 
-  // An event by its name, with fields: both are stable (docs/sites.md lists them). In plain lines they read
+  // A structured event. Its name and field names are stable (docs/sites.md lists them). A plain line reads
   // "site.reloaded version=... pools=3".
   class Event {
    public:
@@ -52,13 +56,13 @@
     ~Event();
     Event& with(std::string_view field, std::string_view value);
     Event& with(std::string_view field, double value);
-    template <std::integral Whole>
-    Event& with(std::string_view field, Whole value) {
-      return raw(field, std::to_string(value));
+    template <std::integral Integer>
+    Event& with(std::string_view field, Integer value) {
+      return append(field, std::to_string(value));
     }
 
    private:
-    Event& raw(std::string_view field, const std::string& value);
+    Event& append(std::string_view field, const std::string& formatted_value);
     Log* log_;
     std::string line_;
   };
@@ -67,20 +71,23 @@
   Line warning() { return line(Level::Warning); }
   Line info() { return line(Level::Info); }
   Line debug() { return line(Level::Debug); }
-  Event event(Level level, std::string_view name) { return {level <= most_ ? this : nullptr, level, name}; }
+  Event event(Level level, std::string_view name) {
+    return {level <= most_verbose_ ? this : nullptr, level, name};
+  }
   bool as_json() const { return format_ == LogFormat::Json; }
-  // Since the process started.
+  // Lines dropped since the process started.
   std::uint64_t dropped_lines() const { return output_ != nullptr ? output_->dropped_lines() : 0; }
 
  private:
   void end_line();
-  Line line(Level level) { return Line(level <= most_ ? this : nullptr, level); }
+  Line line(Level level) { return Line(level <= most_verbose_ ? this : nullptr, level); }
   std::ostream& out_;
-  Level most_;
+  Level most_verbose_;
   LogFormat format_;
   const LogOutput* output_;
 };
 
-Level parse_log_level(std::string_view word);  // an unknown word is Info
+// Returns Info for an unknown word.
+Level parse_log_level(std::string_view word);
 
 }  // namespace puffinvane
--- a/src/net/log_output.cpp
+++ b/src/net/log_output.cpp
@@ -24,9 +24,10 @@
   return fstat(descriptor, &status) == 0 && (status.st_mode & S_IFMT) == type;
 }
 
-// The same pipe through an open file of this process's own, whose flags nobody else shares; the given
-// descriptor where that can't be had.
-int open_without_blocking(int descriptor) {
+// Opens the same pipe again, with an open file description of this process's own: O_NONBLOCK on the given
+// descriptor would affect every process that shares it. Returns the given descriptor if it is not a pipe or
+// can't be opened again.
+int reopen_nonblocking(int descriptor) {
   if (!is_of_type(descriptor, S_IFIFO)) return descriptor;
   const std::string path = "/proc/self/fd/" + std::to_string(descriptor);
   const int opened = retry_on_eintr([&] { return ::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC); });
@@ -42,7 +43,7 @@
 
 LogOutput::LogOutput(int descriptor)
     : given_descriptor_(descriptor),
-      descriptor_(open_without_blocking(descriptor)),
+      descriptor_(reopen_nonblocking(descriptor)),
       is_socket_(is_of_type(descriptor, S_IFSOCK)) {}
 
 LogOutput::~LogOutput() {
@@ -51,9 +52,9 @@
 
 void LogOutput::write_queued() {
   while (!lines_.empty()) {
-    const Written written = write_front();
-    if (written == Written::NotNow) return;
-    if (written == Written::Failed) ++dropped_lines_;
+    const WriteResult result = write_front();
+    if (result == WriteResult::WouldBlock) return;
+    if (result == WriteResult::Failed) ++dropped_lines_;
     drop_front();
   }
 }
@@ -63,8 +64,8 @@
       Clock::now() + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(timeout_s));
   write_queued();
   while (has_queued_lines()) {
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadline - Clock::now());
-    if (left.count() <= 0 || !is_writable_within(descriptor_, int(left.count()))) return;
+    const auto remaining = std::chrono::ceil<std::chrono::milliseconds>(deadline - Clock::now());
+    if (remaining.count() <= 0 || !is_writable_within(descriptor_, int(remaining.count()))) return;
     write_queued();
   }
 }
@@ -88,7 +89,7 @@
   return 0;
 }
 
-// The oldest lines are kept: they tell how the trouble began.
+// Keeps the oldest lines when the queue is full: they show how a problem began.
 void LogOutput::enqueue_line() {
   if (has_queued_lines() && queued_bytes_ + line_.size() > kMaxQueuedBytes) {
     ++dropped_lines_;
@@ -99,7 +100,7 @@
   line_.clear();
 }
 
-LogOutput::Written LogOutput::write_front() {
+LogOutput::WriteResult LogOutput::write_front() {
   const std::string& line = lines_.front();
   while (front_written_bytes_ < line.size()) {
     const std::ptrdiff_t count =
@@ -108,13 +109,14 @@
       front_written_bytes_ += std::size_t(count);
     } else {
       const bool is_full = count < 0 && (errno == EAGAIN || errno == EINTR || is_short_of_memory(errno));
-      return is_full ? Written::NotNow : Written::Failed;
+      return is_full ? WriteResult::WouldBlock : WriteResult::Failed;
     }
   }
-  return Written::Whole;
+  return WriteResult::Complete;
 }
 
-// A descriptor that blocks is asked first, and given no more than a writable pipe takes at once.
+// A blocking descriptor is polled first and given at most PIPE_BUF bytes, which a writable pipe accepts
+// without blocking.
 std::ptrdiff_t LogOutput::write_some(const char* bytes, std::size_t count) const {
   if (is_socket_) {
     return retry_on_eintr([&] { return ::send(descriptor_, bytes, count, MSG_DONTWAIT | MSG_NOSIGNAL); });
--- a/src/net/process_log.cpp
+++ b/src/net/process_log.cpp
@@ -5,8 +5,8 @@
 namespace puffinvane {
 
 LogDrain::LogDrain(Loop& loop, ProcessLog& process_log) : loop_(loop), process_log_(process_log) {
-  process_log_.output().on_queued([this] { await_reader(); });
-  if (process_log_.output().has_queued_lines()) await_reader();
+  process_log_.output().on_queued([this] { watch_descriptor(); });
+  if (process_log_.output().has_queued_lines()) watch_descriptor();
 }
 
 LogDrain::~LogDrain() {
@@ -14,7 +14,7 @@
   loop_.unwatch(process_log_.output().descriptor());
 }
 
-void LogDrain::await_reader() { loop_.watch(process_log_.output().descriptor(), EPOLLOUT, *this); }
+void LogDrain::watch_descriptor() { loop_.watch(process_log_.output().descriptor(), EPOLLOUT, *this); }
 
 void LogDrain::on_ready(std::uint32_t) {
   LogOutput& output = process_log_.output();
--- a/src/net/process_log.h
+++ b/src/net/process_log.h
@@ -1,4 +1,4 @@
-// The log of a process that serves: it goes to a descriptor and never holds up the event loop.
+// The log of a serving process. It writes to a descriptor without ever blocking the event loop.
 #pragma once
 
 #include <ostream>
@@ -9,7 +9,7 @@
 
 namespace puffinvane {
 
-// The log with the output that it writes to. Outlives the loop that is given its log.
+// A log together with its output. Must outlive the loop that uses the log.
 class ProcessLog {
  public:
   ProcessLog(int descriptor, Level most_verbose, LogFormat format = LogFormat::Plain)
@@ -24,8 +24,8 @@
   Log log_;
 };
 
-// Writes a log's queued lines as its reader makes room for them, and then logs how many were dropped
-// meanwhile (log.lines_dropped). Owned beside the loop; destroyed before it.
+// Writes a log's queued lines when its descriptor becomes writable, then logs how many lines were dropped in
+// the meantime (log.lines_dropped). Must be destroyed before the loop.
 class LogDrain final : SocketEventHandler {
  public:
   LogDrain(Loop& loop, ProcessLog& process_log);
@@ -35,7 +35,7 @@
 
  private:
   void on_ready(std::uint32_t events) override;
-  void await_reader();
+  void watch_descriptor();
   void report_dropped_lines();
 
   Loop& loop_;
