--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -33,7 +33,7 @@
       owner_(owner),
       downstream_(loop, limiter, *this, kMostBody,
                   std::size_t(std::clamp(loop.descriptors().limit() / 32, kFewest, kMost))),
-      listener_(loop, downstream_, 0, Listener::Turn::First) {
+      listener_(loop, downstream_, 0, Listener::Priority::High) {
   loop.descriptors().reserve(int(downstream_.most()) + 1);
   downstream_.last_call(true);
 }
--- a/src/admin/admin_api.h
+++ b/src/admin/admin_api.h
@@ -24,7 +24,7 @@
 
   AdminApi(Loop& loop, ConnectionLimiter& limiter, Operations& operations, Owner& owner);
   void open(std::string_view address) { listener_.open(address); }  // throws std::runtime_error
-  bool shut() const { return listener_.shut(); }
+  bool is_closed() const { return listener_.is_closed(); }
 
  private:
   struct Call;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -18,9 +18,11 @@
 namespace puffinvane {
 
 namespace {
-constexpr int kBacklog = 4096;   // the front deals connections in bursts; what does not fit is refused
-constexpr int kAtOnce = 64;      // then the requests already in hand have their turn
-constexpr double kPause = 0.02;  // at the limit: a listening socket that stays readable would spin the loop
+constexpr int kBacklog = 4096;  // clients connect in bursts; connections beyond the backlog are refused
+constexpr int kMaxAcceptsPerIteration = 64;  // then the requests accepted before are handled
+// Seconds. Without a pause, a listening socket that stays readable while there is no room would keep the loop
+// busy.
+constexpr double kPause = 0.02;
 
 int listen_at(GSocket* socket, GSocketAddress* address) {
   sockaddr_storage native{};
@@ -32,17 +34,17 @@
   return bound < 0 ? bound : ::listen(descriptor, kBacklog);
 }
 
-[[noreturn]] void refuse_to_listen(std::string_view address, int error) {
-  std::string why = "can't listen at " + std::string(address) + ": Error binding to address " +
-                    std::string(address) + ": " + std::strerror(error);
-  if (error == EADDRINUSE) throw Listener::InUse(why);
-  if (is_short_of_memory(error) || is_short_of_descriptors(error)) throw Listener::LocalShortage(why);
-  throw std::runtime_error(why);
+[[noreturn]] void throw_listen_error(std::string_view address, int error) {
+  std::string message = "can't listen at " + std::string(address) + ": Error binding to address " +
+                        std::string(address) + ": " + std::strerror(error);
+  if (error == EADDRINUSE) throw Listener::AddressInUse(message);
+  if (is_short_of_memory(error) || is_short_of_descriptors(error)) throw Listener::LocalShortage(message);
+  throw std::runtime_error(message);
 }
 
 }  // namespace
 
-void Listener::open(std::string_view address, Beside beside) {
+void Listener::open(std::string_view address, PortSharing sharing) {
   Ref<GSocketAddress> at = parse_address(address);
   if (!at)
     throw std::runtime_error("can't listen at '" + std::string(address) + "': not an address and port");
@@ -51,16 +53,17 @@
       g_socket_new(g_socket_address_get_family(at.get()), G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, &raw));
   if (!socket_) {
     Error error(raw);
-    std::string why = "can't listen at " + std::string(address) + ": " + error->message;
-    if (g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_NOT_SUPPORTED)) throw std::runtime_error(why);
-    throw LocalShortage(why);
+    std::string message = "can't listen at " + std::string(address) + ": " + error->message;
+    if (g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_NOT_SUPPORTED)) throw std::runtime_error(message);
+    throw LocalShortage(message);
   }
   g_socket_set_blocking(socket_.get(), FALSE);
-  if (beside == Beside::Another) g_socket_set_option(socket_.get(), SOL_SOCKET, SO_REUSEPORT, 1, nullptr);
+  if (sharing == PortSharing::Shared)
+    g_socket_set_option(socket_.get(), SOL_SOCKET, SO_REUSEPORT, 1, nullptr);
   if (listen_at(socket_.get(), at.get()) < 0) {
     const int error = errno;
     socket_.reset();
-    refuse_to_listen(address, error);
+    throw_listen_error(address, error);
   }
   loop_.descriptors().opened();
   listen();
@@ -69,70 +72,76 @@
 void Listener::listen() {
   if (!socket_ || closing_) return;
   GSource* source = g_socket_create_source(socket_.get(), G_IO_IN, nullptr);
-  g_source_set_callback(source, G_SOURCE_FUNC(&Listener::connection_waits), this, nullptr);
-  if (turn_ == Turn::First) g_source_set_priority(source, G_PRIORITY_HIGH);
+  g_source_set_callback(source, G_SOURCE_FUNC(&Listener::on_readable), this, nullptr);
+  if (priority_ == Priority::High) g_source_set_priority(source, G_PRIORITY_HIGH);
   g_source_attach(source, loop_.context());
   source_ = Source(source);
 }
 
 void Listener::pause() {
-  if (!held_since_) held_since_ = loop_.now();
+  if (!waiting_since_) waiting_since_ = loop_.now();
   source_.reset();
   loop_.at(loop_.now() + kPause, alive_.guard([this] { listen(); }));
 }
 
-bool Listener::somebody_waits() const {
-  // Asked first: making room for nobody would close a client's connection each time.
-  pollfd one{g_socket_get_fd(socket_.get()), POLLIN, 0};
-  return poll(&one, 1, 0) != 0;  // where that can't be told, accept tells it
+bool Listener::has_waiting_connection() const {
+  // Checked before may_accept(), which may close an idle connection to make room.
+  pollfd polled{g_socket_get_fd(socket_.get()), POLLIN, 0};
+  return poll(&polled, 1, 0) != 0;  // if poll fails, accept reports the error
 }
 
-Listener::Accepted Listener::take_one() {
+Listener::AcceptResult Listener::accept_one() {
   const int descriptor = retry_on_eintr(
       [this] { return accept4(g_socket_get_fd(socket_.get()), nullptr, nullptr, SOCK_CLOEXEC); });
   if (descriptor < 0) {
-    if (errno == EAGAIN) return Accepted::None;
-    loop_.log().debug() << "a connection could not be taken in: " << std::strerror(errno);
-    bool want = errno == EINTR || is_short_of_memory(errno) || is_short_of_descriptors(errno);
-    // Linux tells here what had befallen the connection itself, which is gone.
-    return want ? Accepted::NotNow : Accepted::Lost;
+    if (errno == EAGAIN) return AcceptResult::NoneWaiting;
+    loop_.log().debug() << "accept failed: " << std::strerror(errno);
+    bool is_shortage = errno == EINTR || is_short_of_memory(errno) || is_short_of_descriptors(errno);
+    // Linux also returns errors of the new connection itself, which is gone then.
+    return is_shortage ? AcceptResult::NotNow : AcceptResult::Lost;
   }
-  Ref<GSocket> entered(g_socket_new_from_fd(descriptor, nullptr));
-  if (!entered) {
+  Ref<GSocket> accepted(g_socket_new_from_fd(descriptor, nullptr));
+  if (!accepted) {
     ::close(descriptor);
-    return Accepted::Lost;
+    return AcceptResult::Lost;
   }
-  double lain = waited(entered.get());
-  owner_.on_accepted(std::move(entered), number_, lain);
-  return Accepted::One;
+  double waited = max_wait_of(accepted.get());
+  owner_.on_accepted(std::move(accepted), id_, waited);
+  return AcceptResult::Accepted;
 }
 
-// Its time runs from when it was sent. The system may tell when the last of it came; else all that is known
-// is that it came after the listener was last seen with nobody at it.
-double Listener::waited(GSocket* entered) const {
-  if (!held_since_) return 0;
-  double longest = loop_.now() - *held_since_;
+// An upper bound for how long the client's first bytes have waited. The system may report when the last of
+// them arrived; otherwise they arrived at some time after the backlog was last empty.
+double Listener::max_wait_of(GSocket* accepted) const {
+  if (!waiting_since_) return 0;
+  double longest = loop_.now() - *waiting_since_;
   tcp_info info{};
   socklen_t size = sizeof info;
-  bool known = getsockopt(g_socket_get_fd(entered), IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
+  bool known = getsockopt(g_socket_get_fd(accepted), IPPROTO_TCP, TCP_INFO, &info, &size) == 0;
   return known && info.tcpi_state != 0 ? std::min(longest, info.tcpi_last_data_recv * 1e-3) : longest;
 }
 
-bool Listener::lets_in() {
+bool Listener::has_room() {
   if (owner_.may_accept()) return true;
-  if (!held_since_) held_since_ = loop_.now();
+  if (!waiting_since_) waiting_since_ = loop_.now();
   return false;
 }
 
-gboolean Listener::connection_waits(GSocket*, GIOCondition, gpointer data) {
+gboolean Listener::on_readable(GSocket*, GIOCondition, gpointer data) {
   auto& self = *static_cast<Listener*>(data);
-  for (int i = 0; i < kAtOnce && self.somebody_waits(); ++i) {
-    if (!self.lets_in()) return self.pause(), G_SOURCE_REMOVE;
-    Accepted accepted = self.take_one();
-    if (accepted == Accepted::NotNow) return self.pause(), G_SOURCE_REMOVE;
-    if (accepted == Accepted::None) break;
+  for (int i = 0; i < kMaxAcceptsPerIteration && self.has_waiting_connection(); ++i) {
+    if (!self.has_room()) {
+      self.pause();
+      return G_SOURCE_REMOVE;
+    }
+    AcceptResult result = self.accept_one();
+    if (result == AcceptResult::NotNow) {
+      self.pause();
+      return G_SOURCE_REMOVE;
+    }
+    if (result == AcceptResult::NoneWaiting) break;
   }
-  if (!self.somebody_waits()) self.held_since_.reset();
+  if (!self.has_waiting_connection()) self.waiting_since_.reset();
   return G_SOURCE_CONTINUE;
 }
 
@@ -143,7 +152,7 @@
   listen();
 }
 
-void Listener::let_go() {
+void Listener::abandon() {
   if (!socket_) return;
   source_.reset();
   g_socket_close(socket_.get(), nullptr);
@@ -151,19 +160,19 @@
   loop_.descriptors().closed();
 }
 
-Listener::~Listener() { let_go(); }
+Listener::~Listener() { abandon(); }
 
 void Listener::close() {
   if (!socket_) return;
   source_.reset();
   closing_ = true;
   for (int i = 0; i < kBacklog; ++i) {
-    if (somebody_waits() && !lets_in()) break;
-    Accepted accepted = take_one();
-    if (accepted == Accepted::None) return let_go();
-    if (accepted == Accepted::NotNow) break;
+    if (has_waiting_connection() && !has_room()) break;
+    AcceptResult result = accept_one();
+    if (result == AcceptResult::NoneWaiting) return abandon();
+    if (result == AcceptResult::NotNow) break;
   }
-  // The system has taken the requests of who still waits, and would reset them.
+  // Closing now would reset the waiting connections, whose requests the system has received already.
   loop_.at(loop_.now() + kPause, alive_.guard([this] { close(); }));
 }
 
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,5 @@
-// Where clients come in: a listening socket with a deep backlog, paused while there is no room for more.
+// A listening socket with a deep backlog. It stops accepting while its owner has no room for another
+// connection.
 #pragma once
 
 #include <optional>
@@ -14,54 +15,65 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual bool may_accept() = 0;  // whether one more may come in
-    // waited: seconds that what it sent may have lain unread at the listener.
+    // Whether there is room for another connection.
+    virtual bool may_accept() = 0;
+    // listener: the id of the listener. waited: seconds for which the client's input may have waited to be
+    // accepted.
     virtual void on_accepted(Ref<GSocket> socket, int listener, double waited) = 0;
   };
 
-  enum class Turn { Usual, First };  // First: served before the others in each turn of the loop
+  // High: handled before the other sources in each iteration of the loop.
+  enum class Priority { Normal, High };
 
-  Listener(Loop& loop, Owner& owner, int number = 0, Turn turn = Turn::Usual)
-      : loop_(loop), owner_(owner), number_(number), turn_(turn) {}
+  Listener(Loop& loop, Owner& owner, int id = 0, Priority priority = Priority::Normal)
+      : loop_(loop), owner_(owner), id_(id), priority_(priority) {}
   ~Listener();
-  int number() const { return number_; }  // told with each who enters
-  enum class Beside { Nobody, Another };  // Another: a second process may listen there at the same time
-  struct NotNow : std::runtime_error {    // a later try may succeed
+  int id() const { return id_; }
+  // Shared: another process may listen at the same address at the same time (SO_REUSEPORT).
+  enum class PortSharing { Exclusive, Shared };
+  // The address can't be opened now, but a later try may succeed.
+  struct NotAvailableNow : std::runtime_error {
     using std::runtime_error::runtime_error;
   };
-  struct InUse : NotNow {  // somebody else listens there
-    using NotNow::NotNow;
+  // Another process listens at the address.
+  struct AddressInUse : NotAvailableNow {
+    using NotAvailableNow::NotAvailableNow;
   };
-  struct LocalShortage : NotNow {  // the system has no descriptor or no memory for it
-    using NotNow::NotNow;
+  // The system is out of descriptors or memory.
+  struct LocalShortage : NotAvailableNow {
+    using NotAvailableNow::NotAvailableNow;
   };
-  void open(std::string_view address, Beside beside = Beside::Nobody);  // throws std::runtime_error
-  void adopt(Ref<GSocket> listening);  // another process's, which goes on with it or not
-  void close();                        // takes in those who wait already, as soon as there is room for them
-  bool shut() const { return !socket_; }
-  void let_go();  // who waits is another process's
+  // Throws std::runtime_error.
+  void open(std::string_view address, PortSharing sharing = PortSharing::Exclusive);
+  // Uses a listening socket of another process, which may go on using it too.
+  void adopt(Ref<GSocket> listening);
+  // Accepts the connections that wait already, as room becomes available, and then closes the socket.
+  void close();
+  bool is_closed() const { return !socket_; }
+  // Closes the socket at once and leaves the waiting connections to the other process that listens on it.
+  void abandon();
   GSocket* socket() const { return socket_.get(); }
 
  private:
-  static gboolean connection_waits(GSocket*, GIOCondition, gpointer self);
-  bool somebody_waits() const;
-  // None: nobody waits. Lost: that one has gone, or can't be had; the next may. NotNow: for want of
-  // something.
-  enum class Accepted { One, None, Lost, NotNow };
-  Accepted take_one();
-  bool lets_in();
-  double waited(GSocket* entered) const;
+  static gboolean on_readable(GSocket*, GIOCondition, gpointer self);
+  bool has_waiting_connection() const;
+  // NoneWaiting: no connection waits. Lost: that connection is gone or can't be used; the next one may be.
+  // NotNow: accepting failed for lack of a resource.
+  enum class AcceptResult { Accepted, NoneWaiting, Lost, NotNow };
+  AcceptResult accept_one();
+  bool has_room();
+  double max_wait_of(GSocket* accepted) const;
   void listen();
   void pause();
 
   Loop& loop_;
   Owner& owner_;
-  const int number_;
-  const Turn turn_;
+  const int id_;
+  const Priority priority_;
   Ref<GSocket> socket_;
   Source source_;
   bool closing_ = false;
-  std::optional<double> held_since_;  // that somebody has waited for room without a break
+  std::optional<double> waiting_since_;  // connections have waited continuously since then
   LifetimeToken alive_;
 };
 
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// Tells what became of a connection attempt; a call that can't tell leaves it to the first send.
+// The error of a connection attempt, or 0. If the call itself fails, the first send will report the error.
 int connect_result(int descriptor) {
   int error = 0;
   socklen_t size = sizeof error;
@@ -39,7 +39,7 @@
   return Ref<GSocketAddress>(g_inet_socket_address_new_from_string(std::string(host).c_str(), port));
 }
 
-void TcpConnection::prepare() {
+void TcpConnection::configure_socket() {
   loop_.descriptors().opened();
   g_socket_set_blocking(socket_.get(), FALSE);
   g_socket_set_option(socket_.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -54,58 +54,60 @@
   socket_.reset(
       g_socket_new(g_socket_address_get_family(to.get()), G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, &raw));
   Error error(raw);
-  bool unknown = g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_NOT_SUPPORTED);  // such addresses, here
-  if (!socket_) return unknown ? ConnectStart::Refused : ConnectStart::LocalShortage;
-  prepare();
-  int begun = retry_on_eintr([&] {
+  bool is_unsupported = g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_NOT_SUPPORTED);  // the address family
+  if (!socket_) return is_unsupported ? ConnectStart::Refused : ConnectStart::LocalShortage;
+  configure_socket();
+  int result = retry_on_eintr([&] {
     return ::connect(g_socket_get_fd(socket_.get()), reinterpret_cast<const sockaddr*>(&native),
                      socklen_t(g_socket_address_get_native_size(to.get())));
   });
-  // Interrupted, it goes on: asked again it says that it does, or that it is done.
-  if (begun < 0 && errno != EINPROGRESS && errno != EALREADY && errno != EISCONN) {
+  // A connect that a signal interrupted goes on in the background; the repeated call then fails with EALREADY
+  // or EISCONN.
+  if (result < 0 && errno != EINPROGRESS && errno != EALREADY && errno != EISCONN) {
     ConnectStart failed =
         is_local_shortage(errno) || errno == EINTR ? ConnectStart::LocalShortage : ConnectStart::Refused;
     close();
     return failed;
   }
   connecting_ = true;
-  want(wants_in_, true);
+  watch_for(reading_, true);
   return ConnectStart::Begun;
 }
 
 void TcpConnection::adopt(Ref<GSocket> socket) {
   socket_ = std::move(socket);
-  prepare();
+  configure_socket();
   set_reading(true);
 }
 
-void TcpConnection::want(bool in, bool out) {
-  wants_in_ = in, wants_out_ = out;
+void TcpConnection::watch_for(bool reading, bool writing) {
+  reading_ = reading;
+  writing_ = writing;
   if (!socket_) return;
   int descriptor = g_socket_get_fd(socket_.get());
   std::uint32_t events = 0;
-  if (in && !paused_) events |= EPOLLIN;
-  if (out && !paused_) events |= EPOLLOUT;
-  if (!in && heeds_end_) events |= EPOLLRDHUP;
-  // Asked for nothing, epoll would still tell of its end, again and again.
+  if (reading && !paused_) events |= EPOLLIN;
+  if (writing && !paused_) events |= EPOLLOUT;
+  if (!reading && reports_end_while_paused_) events |= EPOLLRDHUP;
+  // Even with no events requested, epoll would report EPOLLHUP and EPOLLERR again and again.
   if (events == 0) return loop_.unwatch(descriptor);
   loop_.watch(descriptor, events, *this);
 }
 
 void TcpConnection::on_ready(std::uint32_t events) {
-  constexpr std::uint32_t kOver = EPOLLHUP | EPOLLERR;
-  if (wants_out_ && (events & (EPOLLOUT | kOver))) writable();
-  if (wants_in_ && (events & (EPOLLIN | kOver))) return readable();
-  if (!wants_in_ && heeds_end_ && socket_ && (events & (EPOLLRDHUP | kOver))) {
-    loop_.unwatch(g_socket_get_fd(socket_.get()));  // told once
+  constexpr std::uint32_t kEnded = EPOLLHUP | EPOLLERR;
+  if (writing_ && (events & (EPOLLOUT | kEnded))) on_writable();
+  if (reading_ && (events & (EPOLLIN | kEnded))) return on_readable();
+  if (!reading_ && reports_end_while_paused_ && socket_ && (events & (EPOLLRDHUP | kEnded))) {
+    loop_.unwatch(g_socket_get_fd(socket_.get()));  // reported once
     owner_.on_ended(End::Broken);
   }
 }
 
 bool TcpConnection::has_nothing_to_read() const {
   if (!socket_) return false;
-  pollfd one{g_socket_get_fd(socket_.get()), POLLIN, 0};
-  return poll(&one, 1, 0) == 0;  // where that can't be told, something may have come
+  pollfd polled{g_socket_get_fd(socket_.get()), POLLIN, 0};
+  return poll(&polled, 1, 0) == 0;  // if poll fails, there may be input
 }
 
 bool TcpConnection::has_ended() const {
@@ -113,18 +115,19 @@
   int descriptor = g_socket_get_fd(socket_.get());
   char next;
   ssize_t count = retry_on_eintr([&] { return recv(descriptor, &next, 1, MSG_PEEK | MSG_DONTWAIT); });
-  bool unknown = count < 0 && (errno == EAGAIN || errno == EINTR || is_short_of_memory(errno));
-  if (count == 0 || (count < 0 && !unknown)) return true;
-  // Bytes lie before it.
+  bool is_undecided = count < 0 && (errno == EAGAIN || errno == EINTR || is_short_of_memory(errno));
+  if (count == 0 || (count < 0 && !is_undecided)) return true;
+  // Input is unread; the end may be behind it.
   pollfd end{descriptor, POLLRDHUP, 0};
   return count > 0 && poll(&end, 1, 0) > 0 && (end.revents & (POLLRDHUP | POLLHUP | POLLERR));
 }
 
 bool TcpConnection::input_may_hide_end() const {
-  // Less leaves the system room for all that the far end has under way, whatever its buffers are.
-  constexpr std::size_t kMuch = 4096;
+  // With less unread input the receive buffer has room for all that the peer has sent, whatever its buffer
+  // sizes.
+  constexpr std::size_t kManyBytes = 4096;
   if (!socket_ || has_nothing_to_read()) return false;
-  char next[kMuch];
+  char next[kManyBytes];
   ssize_t count = recv(g_socket_get_fd(socket_.get()), next, sizeof next, MSG_PEEK | MSG_DONTWAIT);
   return count == ssize_t(sizeof next);
 }
@@ -136,83 +139,84 @@
   return count > 0;
 }
 
-void TcpConnection::set_reading(bool wanted) {
-  if (socket_ && wanted != wants_in_) want(wanted, wants_out_);
+void TcpConnection::set_reading(bool on) {
+  if (socket_ && on != reading_) watch_for(on, writing_);
 }
 
 void TcpConnection::send(BufferChain bytes) {
-  if (out_.empty()) out_ = std::move(bytes);
-  else out_.add(bytes);
-  if (socket_ && !connecting_ && !wants_out_) flush();
+  if (unsent_.empty()) unsent_ = std::move(bytes);
+  else unsent_.add(bytes);
+  if (socket_ && !connecting_ && !writing_) flush();
 }
 
 void TcpConnection::flush() {
-  while (!out_.empty() && !broken_) {
-    std::string_view part = out_.front();
+  while (!unsent_.empty() && !send_failed_) {
+    std::string_view part = unsent_.front();
     ssize_t sent = retry_on_eintr([&] {
       return ::send(g_socket_get_fd(socket_.get()), part.data(), part.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     });
     if (sent >= 0) {
-      out_.drop(std::size_t(sent));
+      unsent_.drop(std::size_t(sent));
       pause_ = kFirstPause;
     } else if (errno == EAGAIN) {
-      if (!wants_out_) want(wants_in_, true);
+      if (!writing_) watch_for(reading_, true);
       return;
     } else if (errno == EINTR || is_short_of_memory(errno)) {
-      wants_out_ = true;
+      writing_ = true;
       return pause();
     } else {
-      break_off();
+      on_send_failed();
     }
   }
-  if (broken_ && wants_out_) want(wants_in_, false);
+  if (send_failed_ && writing_) watch_for(reading_, false);
 }
 
-// Nothing is asked of the system for a while: it would tell that the socket is ready, again and again.
+// Stops watching the socket for a while: epoll would report it as ready again and again although no call
+// succeeds.
 void TcpConnection::pause() {
   if (std::exchange(paused_, true)) return;
-  want(wants_in_, wants_out_);
+  watch_for(reading_, writing_);
   loop_.at(loop_.now() + pause_, alive_.guard([this] {
     paused_ = false;
-    want(wants_in_, wants_out_);
+    watch_for(reading_, writing_);
   }));
-  pause_ = std::min(2 * pause_, kLongestPause);
+  pause_ = std::min(2 * pause_, kMaxPause);
 }
 
-// The far end may have answered before it closed: what it said is read first, and the reading side then
-// reports the end. Where it reports none, as the far end lives on, nothing more can come of it all the same.
-void TcpConnection::break_off() {
-  broken_ = true;
+// The peer may have responded before it closed. Its response is read first, and the reading side then reports
+// the end. If the peer keeps its side open, no end arrives; it is then reported once no input is left.
+void TcpConnection::on_send_failed() {
+  send_failed_ = true;
   set_reading(true);
-  end_once_read();
+  report_end_once_read();
 }
 
-void TcpConnection::end_once_read() {
-  loop_.at(loop_.now() + kReadOutLook, alive_.guard([this] {
-    if (!socket_ || !broken_) return;
-    if (!has_nothing_to_read()) return end_once_read();
-    want(false, false);
+void TcpConnection::report_end_once_read() {
+  loop_.at(loop_.now() + kReadOutPollInterval, alive_.guard([this] {
+    if (!socket_ || !send_failed_) return;
+    if (!has_nothing_to_read()) return report_end_once_read();
+    watch_for(false, false);
     owner_.on_ended(End::Broken);
   }));
 }
 
-void TcpConnection::writable() {
+void TcpConnection::on_writable() {
   if (connecting_) {
     connecting_ = false;
-    want(wants_in_, false);
+    watch_for(reading_, false);
     if (int error = connect_result(g_socket_get_fd(socket_.get())))
       return owner_.on_ended(is_short_of_memory(error) ? End::LocalShortage : End::Broken);
     set_reading(true);
     return owner_.on_connected();
   }
-  if (!out_.empty()) flush();
-  if (broken_ || !out_.empty()) return;
-  want(wants_in_, false);
+  if (!unsent_.empty()) flush();
+  if (send_failed_ || !unsent_.empty()) return;
+  watch_for(reading_, false);
   owner_.on_written();
 }
 
-void TcpConnection::readable() {
-  for (int i = 0; receive() && i + 1 < reads_at_once_;) ++i;
+void TcpConnection::on_readable() {
+  for (int i = 0; receive() && i + 1 < max_reads_;) ++i;
 }
 
 bool TcpConnection::receive() {
@@ -223,14 +227,17 @@
   if (count > 0) {
     pause_ = kFirstPause;
     owner_.on_received({buffer->bytes.data(), std::size_t(count)});
-    return wants_in_;
+    return reading_;
   }
   if (count < 0 && errno == EAGAIN) return false;
-  if (count < 0 && (errno == EINTR || is_short_of_memory(errno))) return pause(), false;
-  want(false, wants_out_);
-  // A reset is told once, to the sending side if that meets it first: what is read after it looks like an
-  // end.
-  owner_.on_ended(count == 0 && !broken_ ? End::Closed : End::Broken);
+  if (count < 0 && (errno == EINTR || is_short_of_memory(errno))) {
+    pause();
+    return false;
+  }
+  watch_for(false, writing_);
+  // The system reports a reset once, to whichever of send and recv comes first; after a failed send, recv
+  // reports a normal end.
+  owner_.on_ended(count == 0 && !send_failed_ ? End::Closed : End::Broken);
   return false;
 }
 
@@ -239,27 +246,32 @@
 }
 
 Ref<GSocket> TcpConnection::release() {
-  if (socket_) loop_.unwatch(g_socket_get_fd(socket_.get())), loop_.descriptors().closed();
-  wants_in_ = wants_out_ = connecting_ = broken_ = paused_ = false;
+  if (socket_) {
+    loop_.unwatch(g_socket_get_fd(socket_.get()));
+    loop_.descriptors().closed();
+  }
+  reading_ = writing_ = connecting_ = send_failed_ = paused_ = false;
   pause_ = kFirstPause;
-  out_.clear();
+  unsent_.clear();
   return std::move(socket_);
 }
 
 void TcpConnection::reset() {
-  linger at_once{1, 0};
-  if (socket_) setsockopt(g_socket_get_fd(socket_.get()), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  linger discard_unsent{1, 0};
+  if (socket_)
+    setsockopt(g_socket_get_fd(socket_.get()), SOL_SOCKET, SO_LINGER, &discard_unsent, sizeof discard_unsent);
   close();
 }
 
-// Only where it has to be: what is left unread, its sender knows for not taken and sends again elsewhere.
+// Discards unread input only if sent bytes are not delivered yet: otherwise the reset tells the peer that its
+// input was not processed, so that it can send it elsewhere.
 void TcpConnection::discard_unread() {
-  constexpr int kMostReads = 64;
+  constexpr int kMaxReads = 64;
   int undelivered_bytes = 0;
   const int descriptor = g_socket_get_fd(socket_.get());
   if (ioctl(descriptor, SIOCOUTQ, &undelivered_bytes) != 0 || undelivered_bytes == 0) return;
   BufferPool::Buffer buffer = loop_.pool().acquire();
-  for (int i = 0; i < kMostReads; ++i) {
+  for (int i = 0; i < kMaxReads; ++i) {
     if (::recv(descriptor, buffer->bytes.data(), BufferPool::kSize, MSG_DONTWAIT) <= 0) return;
   }
 }
--- a/src/net/tcp_connection.h
+++ b/src/net/tcp_connection.h
@@ -1,4 +1,5 @@
-// A TCP connection that never blocks. Nothing is reported from within a call to it, only from the loop.
+// A non-blocking TCP connection. Its owner is only called from the event loop, never from within a call to
+// the connection.
 #pragma once
 
 #include <string>
@@ -8,83 +9,98 @@
 
 namespace puffinvane {
 
-Ref<GSocketAddress> parse_address(std::string_view address);  // "127.0.0.1:5000"; none if it is not one
+// Parses an address and port as in "127.0.0.1:5000". Returns null if it is not one.
+Ref<GSocketAddress> parse_address(std::string_view address);
 
 class TcpConnection final : SocketEventHandler {
  public:
-  // Closed: the far end said that no more comes; LocalShortage: it never came up, and nobody else is to
-  // blame; Broken: anything else.
+  // Closed: the peer closed its sending side. LocalShortage: the connection was never established, for lack
+  // of a resource on this machine. Broken: any other failure.
   enum class End { Closed, Broken, LocalShortage };
-  // What came of asking for a connection. Refused: also where the address is none.
+  // The result of connect(). Refused is also returned for an invalid address.
   enum class ConnectStart { Begun, Refused, LocalShortage };
   class Owner {
    public:
     virtual ~Owner() = default;
     virtual void on_connected() {}
     virtual void on_received(std::string_view bytes) = 0;
-    virtual void on_written() {}         // what 'send' could not write at once; see 'written'
-    virtual void on_ended(End end) = 0;  // closed, reset, or never came up
+    // All bytes that send() could not write at once are written.
+    virtual void on_written() {}
+    // The connection was closed or reset, or was never established.
+    virtual void on_ended(End end) = 0;
   };
 
-  TcpConnection(Loop& loop, Owner& owner) : loop_(loop), owner_(owner), out_(loop.pool()) {}
+  TcpConnection(Loop& loop, Owner& owner) : loop_(loop), owner_(owner), unsent_(loop.pool()) {}
   TcpConnection(const TcpConnection&) = delete;
   TcpConnection& operator=(const TcpConnection&) = delete;
   ~TcpConnection() override { close(); }
 
   ConnectStart connect(std::string_view address);
+  // Uses a connected socket.
   void adopt(Ref<GSocket> socket);
   void send(BufferChain bytes);
-  bool is_all_written() const { return out_.empty(); }
-  std::size_t unsent_bytes() const { return out_.size(); }
-  bool is_reading() const { return wants_in_; }
-  // The system has no memory for what it is to send; it is tried again soon.
-  bool waits_for_memory() const { return paused_ && !out_.empty(); }
+  bool is_all_written() const { return unsent_.empty(); }
+  std::size_t unsent_bytes() const { return unsent_.size(); }
+  bool is_reading() const { return reading_; }
+  // Bytes are left to send, but the system is out of memory; sending is retried soon.
+  bool waits_for_memory() const { return paused_ && !unsent_.empty(); }
   GSocket* socket() const { return socket_.get(); }
-  bool has_nothing_to_read() const;  // nothing has come that was not read, not even its end
-  // Its end or a reset has come, read or not: as far as the system tells that before what lies ahead of it.
+  // Neither input nor the end of the connection is waiting to be read.
+  bool has_nothing_to_read() const;
+  // The end of the connection or a reset has arrived, even behind unread input, as far as the system reports
+  // that.
   bool has_ended() const;
-  // So much lies unread that the far end may hold more, and its own end behind that, which 'over' can't see.
+  // So much input is unread that the peer may still hold more, followed by its end, which has_ended() can't
+  // detect.
   bool input_may_hide_end() const;
-  // Reads what has come, a buffer at most, without a word to the owner; false: there was nothing.
+  // Reads at most one buffer of input without calling the owner. Returns false if there was none.
   bool read_into(BufferChain& into);
-  // What was sent is delivered after a close too, whatever the far end has sent on: a close over unread bytes
-  // resets the connection, and the system drops what the far end has not read yet.
+  // Makes close() deliver what was sent even if input is unread: closing a socket with unread input resets
+  // the connection, and the peer then loses what it has not read yet.
   void deliver_after_close() { delivers_after_close_ = true; }
-  void report_end_while_paused() {
-    heeds_end_ = true;
-  }  // also while it is not read from; nothing more is read then
-  void set_reading(bool wanted);
+  // Reports the end of the connection also while reading is off; nothing more is read then.
+  void report_end_while_paused() { reports_end_while_paused_ = true; }
+  void set_reading(bool on);
   void shutdown_write();
-  void read_in_bulk() { reads_at_once_ = kHurried; }  // what comes is only to be got over with
+  // Reads more in each iteration, for input that is only discarded.
+  void read_in_bulk() { max_reads_ = kBulkReads; }
   void close();
-  void reset();            // so that the far end can tell that what it has is not all
-  Ref<GSocket> release();  // the socket as it is, open: somebody else's from now on
+  // Closes with a reset, so that the peer knows that what it received is incomplete.
+  void reset();
+  // Gives up the open socket, which from now on belongs to the caller.
+  Ref<GSocket> release();
 
  private:
   void on_ready(std::uint32_t events) override;
-  void writable();
-  void readable();
-  void want(bool in, bool out);
-  void prepare();
+  void on_writable();
+  void on_readable();
+  void watch_for(bool reading, bool writing);
+  void configure_socket();
   void flush();
   void pause();
-  void break_off();
-  void end_once_read();
+  void on_send_failed();
+  void report_end_once_read();
   void discard_unread();
   bool receive();
 
   Loop& loop_;
   Owner& owner_;
   Ref<GSocket> socket_;
-  BufferChain out_;
-  static constexpr int kHurried = 32;  // 512 KiB a turn: a turn for each buffer costs more than its reading
-  // Seconds after a call for which the system had no memory; each that fails again doubles it.
-  static constexpr double kFirstPause = 0.005, kLongestPause = 0.04;
-  // Seconds between two looks whether all has been read of a connection that takes no more.
-  static constexpr double kReadOutLook = 0.02;
-  int reads_at_once_ = 1;
-  bool wants_in_ = false, wants_out_ = false, connecting_ = false, broken_ = false, heeds_end_ = false;
-  bool paused_ = false, delivers_after_close_ = false;
+  BufferChain unsent_;
+  static constexpr int kBulkReads = 32;  // 512 KiB: an iteration for each buffer costs more than reading it
+  // Seconds to wait after a call failed for lack of memory; doubled after each further failure.
+  static constexpr double kFirstPause = 0.005;
+  static constexpr double kMaxPause = 0.04;
+  // Seconds between checks for whether all input of a connection whose sending side failed has been read.
+  static constexpr double kReadOutPollInterval = 0.02;
+  int max_reads_ = 1;  // in one iteration of the loop
+  bool reading_ = false;
+  bool writing_ = false;  // waits until the socket is writable
+  bool connecting_ = false;
+  bool send_failed_ = false;
+  bool reports_end_while_paused_ = false;
+  bool paused_ = false;  // for lack of memory
+  bool delivers_after_close_ = false;
   double pause_ = kFirstPause;
   LifetimeToken alive_;
 };
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -162,7 +162,7 @@
         .with("listener", one.configured.name)
         .with("address", one.configured.address);
     one.listener->close();
-    downstream_.close_listener(one.listener->number());
+    downstream_.close_listener(one.listener->id());
     one.listener.reset();
   }
   std::erase_if(listeners_, [](const Opened& one) { return !one.listener; });
@@ -312,7 +312,7 @@
 
 std::string_view Server::listener_of(int listener) const {
   for (const Opened& one : listeners_) {
-    if (one.listener->number() == listener) return one.configured.name;
+    if (one.listener->id() == listener) return one.configured.name;
   }
   return {};  // closed since: its last requests take the routes that any listener may take
 }
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -54,7 +54,7 @@
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
     return downstream_.empty() &&
-           std::ranges::all_of(listeners_, [](const Opened& one) { return one.listener->shut(); });
+           std::ranges::all_of(listeners_, [](const Opened& one) { return one.listener->is_closed(); });
   }
   void on_stopped() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -74,10 +74,12 @@
 // was killed the sockets are there for a moment more.
 void Sidecar::open_listeners() {
   try {
-    if (admin_ && admin_->shut()) admin_->open(assignment_.admin);
+    if (admin_ && admin_->is_closed()) admin_->open(assignment_.admin);
     if (takeover_.listener) listener_.adopt(std::move(takeover_.listener));
-    else listener_.open(assignment_.listen, admin_ ? Listener::Beside::Another : Listener::Beside::Nobody);
-  } catch (const Listener::NotNow&) {
+    else
+      listener_.open(assignment_.listen,
+                     admin_ ? Listener::PortSharing::Shared : Listener::PortSharing::Exclusive);
+  } catch (const Listener::NotAvailableNow&) {
     if (loop().now() > started_ + kKillTimeoutSeconds) throw;
     return loop().at(loop().now() + kListenRetry, alive_.guard([this] { try_listeners(); }));
   }
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -34,13 +34,13 @@
   void reload_settings() override;
   DrainLimits drain_limits() const override;
   void on_draining(double deadline_s) override;
-  void stop_listening() override { has_successor() ? listener_.let_go() : listener_.close(); }
+  void stop_listening() override { has_successor() ? listener_.abandon() : listener_.close(); }
   bool has_successor() const override { return hot_restart_ && hot_restart_->has_successor(); }
   void hand_over_connections() override;
   void end_connections_after_response() override { downstream_.last_call(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
-    return downstream_.empty() && listener_.shut() &&
+    return downstream_.empty() && listener_.is_closed() &&
            !(hot_restart_ && hot_restart_->is_sending_learned_state());
   }
   void on_stopped() override;
