--- a/src/net/log_output_test.cpp
+++ b/src/net/log_output_test.cpp
@@ -1,4 +1,4 @@
-// Lines of a log whose reader has stopped reading: what waits, what is dropped, what is written later.
+// Tests of a log whose reader has stopped reading: which lines are queued, dropped, and written later.
 #include "src/net/log_output.h"
 
 #include <fcntl.h>
@@ -16,7 +16,7 @@
 
 using test::LogPipe;
 
-TEST(LogOutput, WritesLinesAtOnceWhileTheyAreRead) {
+TEST(LogOutput, WritesLinesAtOnceWhileThePipeHasRoom) {
   LogPipe pipe;
   LogOutput output(pipe.write_end());
   std::ostream stream(&output);
@@ -27,7 +27,7 @@
   EXPECT_FALSE(output.has_queued_lines());
 }
 
-TEST(LogOutput, QueuesLinesOfAFullPipeAndWritesThemOnceItIsRead) {
+TEST(LogOutput, QueuesLinesWhileThePipeIsFullAndWritesThemOnceItIsRead) {
   LogPipe pipe;
   LogOutput output(pipe.write_end());
   std::ostream stream(&output);
@@ -50,7 +50,7 @@
   EXPECT_EQ(fcntl(pipe.write_end(), F_GETFL) & O_NONBLOCK, 0);
 }
 
-TEST(LogOutput, DropsWholeLinesBeyondItsBoundAndKeepsTheOldest) {
+TEST(LogOutput, DropsWholeLinesBeyondItsLimitAndKeepsTheOldest) {
   constexpr std::size_t kLines = 200;
   const std::string line(1000, 'x');
   LogPipe pipe;
@@ -75,8 +75,8 @@
   EXPECT_LE(written.size(), LogOutput::kMaxQueuedBytes);
 }
 
-TEST(LogOutput, NeverTearsALineThatThePipeTookInPart) {
-  const std::string line(100'000, 'x');  // longer than the pipe
+TEST(LogOutput, CompletesALineThatThePipeAcceptedInPart) {
+  const std::string line(100'000, 'x');  // more than the pipe holds
   LogPipe pipe;
   LogOutput output(pipe.write_end());
   std::ostream stream(&output);
@@ -94,7 +94,7 @@
   EXPECT_EQ(written, line + "\nnext\n");
 }
 
-TEST(LogOutput, DropsLinesOfAPipeThatIsClosed) {
+TEST(LogOutput, DropsLinesWhenThePipeHasNoReader) {
   int ends[2];
   ASSERT_EQ(pipe2(ends, O_CLOEXEC), 0);
   signal(SIGPIPE, SIG_IGN);
@@ -125,22 +125,22 @@
   close(ends[1]);
 }
 
-TEST(LogOutput, WaitsNoLongerThanAskedForAReader) {
+TEST(LogOutput, StopsWaitingForAReaderAtTheTimeout) {
   constexpr double kTimeoutS = 0.05;
   LogPipe pipe;
   LogOutput output(pipe.write_end());
   std::ostream stream(&output);
   pipe.fill();
   stream << "last" << std::endl;
-  const double began_s = test::now();
+  const double started_s = test::now();
 
   output.write_queued_within(kTimeoutS);
 
-  EXPECT_GE(test::now() - began_s, kTimeoutS);
+  EXPECT_GE(test::now() - started_s, kTimeoutS);
   EXPECT_TRUE(output.has_queued_lines());
 }
 
-TEST(LogDrain, WritesQueuedLinesAndTheNumberOfDroppedOnesOnceThePipeIsRead) {
+TEST(LogDrain, WritesQueuedLinesAndTheDroppedLineCountOnceThePipeIsRead) {
   constexpr int kLines = 200;
   const std::string line(1000, 'x');
   LogPipe pipe;
@@ -153,10 +153,10 @@
 
   std::string written;
   const std::string expected = "warning: log.lines_dropped count=" + std::to_string(dropped_lines) + "\n";
-  const double until_s = loop.now() + 5;
+  const double deadline_s = loop.now() + 5;
   std::function<void()> read = [&] {
     written += pipe.read_all();
-    if (written.ends_with(expected) || loop.now() > until_s) loop.quit();
+    if (written.ends_with(expected) || loop.now() > deadline_s) loop.quit();
     else loop.at(loop.now() + 0.005, read);
   };
   read();
--- a/src/net/loop_test.cpp
+++ b/src/net/loop_test.cpp
@@ -1,4 +1,5 @@
-// What the event loop reports when it was held up.
+// Tests of the loop.stalled log event: its duration, and whether its CPU time tells a process that did not
+// run from one that was busy.
 #include "src/net/loop.h"
 
 #include <gtest/gtest.h>
@@ -13,13 +14,13 @@
 
 constexpr double kStallSeconds = 1.2;
 
-// The log of a loop in which one turn takes that long.
-std::string log_of_loop_held_up_by(const std::function<void()>& turn) {
+// Runs a loop in which one alarm calls `blocking_call`, and returns what the loop logged.
+std::string log_of_loop_blocked_by(const std::function<void()>& blocking_call) {
   std::ostringstream text;
   Log log(text, Level::Warning);
   Loop loop(log, 64);
   loop.at(loop.now() + 0.05, [&] {
-    turn();
+    blocking_call();
     loop.at(loop.now() + 0.1, [&] { loop.quit(); });
   });
   loop.run();
@@ -27,8 +28,8 @@
 }
 
 double field(const std::string& line, const std::string& name) {
-  const std::size_t found = line.find(" " + name + "=");
-  return found == std::string::npos ? -1 : std::stod(line.substr(found + name.size() + 2));
+  const std::size_t position = line.find(" " + name + "=");
+  return position == std::string::npos ? -1 : std::stod(line.substr(position + name.size() + 2));
 }
 
 double thread_cpu_seconds() {
@@ -37,8 +38,8 @@
   return double(used.tv_sec) + double(used.tv_nsec) * 1e-9;
 }
 
-TEST(LoopStall, TellsAProcessThatDidNotRun) {
-  const std::string logged = log_of_loop_held_up_by(
+TEST(LoopStall, ReportsLittleCpuTimeOfAProcessThatDidNotRun) {
+  const std::string logged = log_of_loop_blocked_by(
       [] { std::this_thread::sleep_for(std::chrono::duration<double>(kStallSeconds)); });
 
   EXPECT_TRUE(logged.starts_with("warning: loop.stalled")) << logged;
@@ -46,8 +47,8 @@
   EXPECT_LT(field(logged, "cpu_s"), 0.5);
 }
 
-TEST(LoopStall, TellsAProcessThatWasBusy) {
-  const std::string logged = log_of_loop_held_up_by([] {
+TEST(LoopStall, ReportsCpuTimeOfAProcessThatWasBusy) {
+  const std::string logged = log_of_loop_blocked_by([] {
     const double until_s = thread_cpu_seconds() + kStallSeconds;
     while (thread_cpu_seconds() < until_s) {
     }
@@ -56,9 +57,9 @@
   EXPECT_GE(field(logged, "cpu_s"), 1) << logged;
 }
 
-TEST(LoopStall, SaysNothingOfShortTurns) {
+TEST(LoopStall, LogsNothingForShortDelays) {
   const std::string logged =
-      log_of_loop_held_up_by([] { std::this_thread::sleep_for(std::chrono::milliseconds(300)); });
+      log_of_loop_blocked_by([] { std::this_thread::sleep_for(std::chrono::milliseconds(300)); });
 
   EXPECT_EQ(logged, "");
 }
