--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -5,19 +5,21 @@
 namespace puffinvane {
 
 namespace {
-constexpr std::size_t kMostBody = 4096;  // an id and white space round it
-constexpr int kFewest = 8, kMost = 16;   // clients at a time, by how many descriptors there are
+constexpr std::size_t kMaxBody = 4096;  // bytes; bodies hold an endpoint id
+// The number of clients at a time depends on the descriptor limit, within these bounds.
+constexpr int kMinClients = 8;
+constexpr int kMaxClients = 16;
 
 std::string_view trimmed(std::string_view text) {
-  constexpr std::string_view kBlank = " \t\r\n";
-  std::size_t from = std::min(text.find_first_not_of(kBlank), text.size());
-  return text.substr(from, text.find_last_not_of(kBlank) + 1 - from);
+  constexpr std::string_view kWhitespace = " \t\r\n";
+  std::size_t from = std::min(text.find_first_not_of(kWhitespace), text.size());
+  return text.substr(from, text.find_last_not_of(kWhitespace) + 1 - from);
 }
 }  // namespace
 
 struct AdminApi::Call {
   std::string_view path, method;
-  void (AdminApi::*act)(DownstreamConnection&, std::string_view);
+  void (AdminApi::*handle)(DownstreamConnection&, std::string_view);
 };
 
 const AdminApi::Call AdminApi::kCalls[] = {
@@ -27,12 +29,12 @@
     {"/api/rejoin", "PUT", &AdminApi::rejoin},
 };
 
-AdminApi::AdminApi(Loop& loop, ConnectionLimiter& limiter, Operations& operations, Owner& owner)
+AdminApi::AdminApi(Loop& loop, ConnectionLimiter& limiter, OverrideController& overrides, Owner& owner)
     : loop_(loop),
-      operations_(operations),
+      overrides_(overrides),
       owner_(owner),
-      downstream_(loop, limiter, *this, kMostBody,
-                  std::size_t(std::clamp(loop.descriptors().limit() / 32, kFewest, kMost))),
+      downstream_(loop, limiter, *this, kMaxBody,
+                  std::size_t(std::clamp(loop.descriptors().limit() / 32, kMinClients, kMaxClients))),
       listener_(loop, downstream_, 0, Listener::Priority::High) {
   loop.descriptors().reserve(int(downstream_.most()) + 1);
   downstream_.last_call(true);
@@ -40,49 +42,50 @@
 
 void AdminApi::on_request(DownstreamConnection& downstream, HttpMessage request) {
   std::string_view path = std::string_view(request.target).substr(0, request.target.find('?'));
-  auto asked = std::find_if(std::begin(kCalls), std::end(kCalls),
-                            [path](const Call& call) { return call.path == path; });
-  if (asked == std::end(kCalls)) return say(downstream, 404, "no such call");
-  if (asked->method != request.method)
-    return say(downstream, 405, "the method is wrong", "Allow: " + std::string(asked->method) + "\r\n");
-  (this->*asked->act)(downstream, trimmed(request.body.text()));
+  auto call = std::find_if(std::begin(kCalls), std::end(kCalls),
+                           [path](const Call& entry) { return entry.path == path; });
+  if (call == std::end(kCalls)) return respond(downstream, 404, "no such call");
+  if (call->method != request.method)
+    return respond(downstream, 405, "the method is wrong", "Allow: " + std::string(call->method) + "\r\n");
+  (this->*call->handle)(downstream, trimmed(request.body.text()));
 }
 
 void AdminApi::ready(DownstreamConnection& downstream, std::string_view) {
-  owner_.ready() ? say(downstream, 200, "ready")
-                 : say(downstream, 503, "not ready: this process takes no clients");
+  owner_.is_ready() ? respond(downstream, 200, "ready")
+                    : respond(downstream, 503, "not ready: this process takes no clients");
 }
 void AdminApi::telemetry(DownstreamConnection& downstream, std::string_view) {
-  downstream.answer(200, nullptr, "Content-Type: text/plain; version=0.0.4\r\n", owner_.telemetry(), true);
+  downstream.answer(200, nullptr, "Content-Type: text/plain; version=0.0.4\r\n", owner_.metrics(), true);
 }
 void AdminApi::fleet(DownstreamConnection& downstream, std::string_view) {
-  std::string shown = owner_.fleet();
-  if (shown.empty()) return say(downstream, 404, "this process is part of no fleet");
-  downstream.answer(200, nullptr, "Content-Type: application/json\r\n", shown, true);
+  std::string json = owner_.fleet_json();
+  if (json.empty()) return respond(downstream, 404, "this process is part of no fleet");
+  downstream.answer(200, nullptr, "Content-Type: application/json\r\n", json, true);
 }
 void AdminApi::exclude(DownstreamConnection& downstream, std::string_view body) {
-  obeyed(downstream, operations_.exclude(loop_.now(), body));
+  respond_to_order(downstream, overrides_.exclude(loop_.now(), body));
 }
 void AdminApi::include(DownstreamConnection& downstream, std::string_view body) {
-  obeyed(downstream, operations_.include(body));
+  respond_to_order(downstream, overrides_.include(body));
 }
 void AdminApi::evacuate(DownstreamConnection& downstream, std::string_view) {
-  operations_.evacuate(loop_.now());
-  obeyed(downstream, true);
+  overrides_.evacuate(loop_.now());
+  respond_to_order(downstream, true);
 }
 void AdminApi::rejoin(DownstreamConnection& downstream, std::string_view) {
-  operations_.rejoin();
-  obeyed(downstream, true);
+  overrides_.rejoin();
+  respond_to_order(downstream, true);
 }
 
-void AdminApi::obeyed(DownstreamConnection& downstream, bool yes) {
-  if (yes) owner_.on_override();
-  yes ? say(downstream, 200, "done") : say(downstream, 404, "no endpoint of that id was ever listed");
+void AdminApi::respond_to_order(DownstreamConnection& downstream, bool accepted) {
+  if (accepted) owner_.on_override();
+  accepted ? respond(downstream, 200, "done")
+           : respond(downstream, 404, "no endpoint of that id was ever listed");
 }
 
-void AdminApi::say(DownstreamConnection& downstream, int status, std::string_view text,
-                   std::string_view more_headers) {
-  downstream.answer(status, nullptr, more_headers, std::string(text) + "\n", true);
+void AdminApi::respond(DownstreamConnection& downstream, int status, std::string_view text,
+                       std::string_view extra_headers) {
+  downstream.answer(status, nullptr, extra_headers, std::string(text) + "\n", true);
 }
 
 }  // namespace puffinvane
--- a/src/admin/admin_api.h
+++ b/src/admin/admin_api.h
@@ -1,5 +1,5 @@
-// Where operators call: a listener, clients and descriptors of its own, so that neither a flood at the other
-// listener nor somebody who holds a connection here keeps an order waiting.
+// The admin API, with a listener, client limit and descriptors of its own: neither a flood at the main
+// listener nor a client that keeps its connection open here delays an order.
 #pragma once
 
 #include <string>
@@ -16,13 +16,17 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual bool ready() const = 0;
-    virtual std::string telemetry() const = 0;
-    virtual void on_override() = 0;                   // one was obeyed
-    virtual std::string fleet() const { return {}; }  // as JSON; empty: it is part of none
+    // Whether the process accepts clients.
+    virtual bool is_ready() const = 0;
+    // All metrics, in the Prometheus exposition format.
+    virtual std::string metrics() const = 0;
+    // An order was accepted.
+    virtual void on_override() = 0;
+    // The state of the fleet as JSON; empty if the process is not part of one.
+    virtual std::string fleet_json() const { return {}; }
   };
 
-  AdminApi(Loop& loop, ConnectionLimiter& limiter, Operations& operations, Owner& owner);
+  AdminApi(Loop& loop, ConnectionLimiter& limiter, OverrideController& overrides, Owner& owner);
   void open(std::string_view address) { listener_.open(address); }  // throws std::runtime_error
   bool is_closed() const { return listener_.is_closed(); }
 
@@ -37,12 +41,12 @@
   void include(DownstreamConnection& downstream, std::string_view body);
   void evacuate(DownstreamConnection& downstream, std::string_view body);
   void rejoin(DownstreamConnection& downstream, std::string_view body);
-  void say(DownstreamConnection& downstream, int status, std::string_view text,
-           std::string_view more_headers = "");
-  void obeyed(DownstreamConnection& downstream, bool yes);
+  void respond(DownstreamConnection& downstream, int status, std::string_view text,
+               std::string_view extra_headers = "");
+  void respond_to_order(DownstreamConnection& downstream, bool accepted);
 
   Loop& loop_;
-  Operations& operations_;
+  OverrideController& overrides_;
   Owner& owner_;
   DownstreamConnections downstream_;
   Listener listener_;
--- a/src/admin/operations.cpp
+++ b/src/admin/operations.cpp
@@ -3,63 +3,67 @@
 namespace puffinvane {
 
 namespace {
-// Seconds after the order. Clients hear of it some tenths late and open new connections until then, so an
-// answer that parted at once would only be followed by a new connection here.
-constexpr double kNoticed = 0.35;
-// By then the busy ones have parted with an answer, and closing what is left crosses next to no request.
-constexpr double kSettled = 1.2;
+// Seconds after the order. Clients learn of a drain some tenths of a second late and open new connections
+// until then, so a connection closed earlier would only be replaced by another one here.
+constexpr double kNoticeTime = 0.35;
+// Seconds after the order. Busy connections have ended with a response by then, so closing the idle ones
+// rarely meets a request on its way.
+constexpr double kSettleTime = 1.2;
 }  // namespace
 
-const Transition<Operations, Operations::Drain, Operations::Input> Operations::kRows[] = {
-    {Drain::Serving, Input::Evacuate, Drain::Telling, &Operations::nothing},
-    {Drain::Telling, Input::Noticed, Drain::Parting, &Operations::part},
-    {Drain::Telling, Input::Rejoin, Drain::Serving, &Operations::serve},
-    {Drain::Parting, Input::Settled, Drain::Emptying, &Operations::nothing},
-    {Drain::Parting, Input::Rejoin, Drain::Serving, &Operations::serve},
-    {Drain::Emptying, Input::Rejoin, Drain::Serving, &Operations::serve},
+const Transition<OverrideController, OverrideController::Drain, OverrideController::Input>
+    OverrideController::kTransitions[] = {
+        {Drain::Serving, Input::Evacuate, Drain::Announced, &OverrideController::do_nothing},
+        {Drain::Announced, Input::NoticeTimeElapsed, Drain::LastResponses,
+         &OverrideController::begin_last_responses},
+        {Drain::Announced, Input::Rejoin, Drain::Serving, &OverrideController::end_last_responses},
+        {Drain::LastResponses, Input::SettleTimeElapsed, Drain::ClosingIdle, &OverrideController::do_nothing},
+        {Drain::LastResponses, Input::Rejoin, Drain::Serving, &OverrideController::end_last_responses},
+        {Drain::ClosingIdle, Input::Rejoin, Drain::Serving, &OverrideController::end_last_responses},
 };
 
-void Operations::turn(Input input) { apply_transition(kRows, *this, drain_, input); }
+void OverrideController::apply(Input input) { apply_transition(kTransitions, *this, drain_, input); }
 
-bool Operations::exclude(double now, std::string_view endpoint) {
-  if (out(endpoint)) return true;
-  if (!host_.knows(endpoint) || out_.size() >= kMostOut) return false;
-  out_.emplace(endpoint, now);
-  host_.stop(endpoint);
+bool OverrideController::exclude(double now, std::string_view endpoint) {
+  if (is_excluded(endpoint)) return true;
+  if (!host_.knows_endpoint(endpoint) || excluded_since_.size() >= kMaxExcluded) return false;
+  excluded_since_.emplace(endpoint, now);
+  host_.exclude_endpoint(endpoint);
   return true;
 }
 
-bool Operations::include(std::string_view endpoint) {
-  auto found = out_.find(endpoint);
-  if (found == out_.end()) return host_.knows(endpoint);
+bool OverrideController::include(std::string_view endpoint) {
+  auto found = excluded_since_.find(endpoint);
+  if (found == excluded_since_.end()) return host_.knows_endpoint(endpoint);
   auto [name, since] = *found;
-  out_.erase(found);
-  host_.use_again(name, since);
+  excluded_since_.erase(found);
+  host_.include_endpoint(name, since);
   return true;
 }
 
-void Operations::evacuate(double now) {
-  if (!drains()) since_ = now;
-  turn(Input::Evacuate);
+void OverrideController::evacuate(double now) {
+  if (!is_draining()) draining_since_ = now;
+  apply(Input::Evacuate);
 }
 
-void Operations::rejoin() { turn(Input::Rejoin); }
+void OverrideController::rejoin() { apply(Input::Rejoin); }
 
-void Operations::take_over(const std::map<std::string, double, std::less<>>& out,
-                           std::optional<double> drains_since) {
-  for (auto mine = out_.begin(); mine != out_.end();) {
-    auto [name, since] = *mine++;  // an include takes it out
-    if (!out.contains(name)) include(name);
+void OverrideController::replace_with(const std::map<std::string, double, std::less<>>& excluded_since,
+                                      std::optional<double> draining_since) {
+  for (auto own = excluded_since_.begin(); own != excluded_since_.end();) {
+    auto [name, since] = *own++;  // moves on first, as include() erases the entry
+    if (!excluded_since.contains(name)) include(name);
   }
-  for (const auto& [name, since] : out) {
-    if (out_.size() < kMostOut && out_.emplace(name, since).second) host_.stop(name);
+  for (const auto& [name, since] : excluded_since) {
+    if (excluded_since_.size() < kMaxExcluded && excluded_since_.emplace(name, since).second)
+      host_.exclude_endpoint(name);
   }
-  drains_since ? evacuate(*drains_since) : rejoin();
+  draining_since ? evacuate(*draining_since) : rejoin();
 }
 
-void Operations::pass_time(double now) {
-  if (drains() && now - since_ >= kNoticed) turn(Input::Noticed);
-  if (drains() && now - since_ >= kSettled) turn(Input::Settled);
+void OverrideController::advance(double now) {
+  if (is_draining() && now - draining_since_ >= kNoticeTime) apply(Input::NoticeTimeElapsed);
+  if (is_draining() && now - draining_since_ >= kSettleTime) apply(Input::SettleTimeElapsed);
 }
 
 }  // namespace puffinvane
--- a/src/admin/operations.h
+++ b/src/admin/operations.h
@@ -1,5 +1,6 @@
-// What operators have ordered, apart from the sockets that carry the orders: which endpoints get nothing, and
-// whether the sidecar is being emptied. An order stands until it is taken back, whatever the list says.
+// The overrides that operators order, apart from the connections that carry the orders: which endpoints are
+// excluded, and whether the sidecar is being drained. An order holds until it is revoked, even if its
+// endpoint leaves the list.
 #pragma once
 
 #include <cstddef>
@@ -12,50 +13,65 @@
 
 namespace puffinvane {
 
-class Operations {
+class OverrideController {
  public:
   class Host {
    public:
     virtual ~Host() = default;
-    virtual bool knows(std::string_view endpoint) const = 0;  // it is listed, or was a short while ago
-    virtual void stop(std::string_view endpoint) = 0;         // nothing new to it from now on
-    virtual void use_again(std::string_view endpoint, double out_since) = 0;
-    virtual void last_answers(bool on) = 0;  // each answer is the last on its connection
+    // Whether the endpoint is in the list, or was a short while ago.
+    virtual bool knows_endpoint(std::string_view endpoint) const = 0;
+    // No new attempts go to the endpoint from now on.
+    virtual void exclude_endpoint(std::string_view endpoint) = 0;
+    // Ends the exclusion; excluded_since: when it began.
+    virtual void include_endpoint(std::string_view endpoint, double excluded_since) = 0;
+    // While on, each response is the last on its connection.
+    virtual void set_last_responses(bool on) = 0;
   };
-  // An order for an endpoint that is listed no more is kept too, as it may come back under its id. So that
-  // strangers' names can't fill the memory only known ones are taken, and no more than this many.
-  static constexpr std::size_t kMostOut = 1024;
+  // An exclusion is kept after its endpoint has left the list, as the endpoint may come back under its id.
+  // Only known endpoints can be excluded, and no more than this many, so that requests with arbitrary names
+  // can't exhaust memory.
+  static constexpr std::size_t kMaxExcluded = 1024;
 
-  explicit Operations(Host& host) : host_(host) {}
+  explicit OverrideController(Host& host) : host_(host) {}
 
-  // Whether the order is one that can be obeyed. Given again it changes nothing, and is obeyed.
+  // Both return whether the order was accepted. A repeated order is accepted and changes nothing.
   bool exclude(double now, std::string_view endpoint);
   bool include(std::string_view endpoint);
   void evacuate(double now);
   void rejoin();
-  void pass_time(double now);
-  // What another process of this sidecar was ordered, in place of what this one was.
-  void take_over(const std::map<std::string, double, std::less<>>& out, std::optional<double> drains_since);
+  // Moves a drain on to the step that is due at that time.
+  void advance(double now);
+  // Replaces all overrides with those of another process of the same sidecar.
+  void replace_with(const std::map<std::string, double, std::less<>>& excluded_since,
+                    std::optional<double> draining_since);
 
-  bool out(std::string_view endpoint) const { return out_.contains(endpoint); }
-  const std::map<std::string, double, std::less<>>& all_out() const { return out_; }  // since when
-  std::optional<double> drains_since() const { return drains() ? std::optional(since_) : std::nullopt; }
-  bool drains() const { return drain_ != Drain::Serving; }
-  bool closes_idle() const { return drain_ == Drain::Emptying; }
+  bool is_excluded(std::string_view endpoint) const { return excluded_since_.contains(endpoint); }
+  // The excluded endpoints, and when each was excluded.
+  const std::map<std::string, double, std::less<>>& excluded_since() const { return excluded_since_; }
+  std::optional<double> draining_since() const {
+    return is_draining() ? std::optional(draining_since_) : std::nullopt;
+  }
+  bool is_draining() const { return drain_ != Drain::Serving; }
+  bool closes_idle_connections() const { return drain_ == Drain::ClosingIdle; }
 
  private:
-  enum class Drain { Serving, Telling, Parting, Emptying };
-  enum class Input { Evacuate, Noticed, Settled, Rejoin };
-  static const Transition<Operations, Drain, Input> kRows[];
-  void turn(Input input);
-  void nothing() {}
-  void part() { host_.last_answers(true); }
-  void serve() { host_.last_answers(false); }
+  enum class Drain {
+    Serving,
+    Announced,      // health checks fail; connections stay open
+    LastResponses,  // each response ends its connection
+    ClosingIdle,    // idle connections are closed as well
+  };
+  enum class Input { Evacuate, NoticeTimeElapsed, SettleTimeElapsed, Rejoin };
+  static const Transition<OverrideController, Drain, Input> kTransitions[];
+  void apply(Input input);
+  void do_nothing() {}
+  void begin_last_responses() { host_.set_last_responses(true); }
+  void end_last_responses() { host_.set_last_responses(false); }
 
   Host& host_;
-  std::map<std::string, double, std::less<>> out_;
+  std::map<std::string, double, std::less<>> excluded_since_;
   Drain drain_ = Drain::Serving;
-  double since_ = 0;
+  double draining_since_ = 0;
 };
 
 }  // namespace puffinvane
--- a/src/admin/shadow_policy.cpp
+++ b/src/admin/shadow_policy.cpp
@@ -5,35 +5,35 @@
 
 namespace puffinvane {
 
-std::string write_differences(const Differences& counted) {
+std::string write_differences(const Differences& differences) {
   static constexpr const char* kNames[] = {"endpoint", "copy", "ended", "aside", "over_share"};
-  std::string text = "{\"visits\":" + std::to_string(counted.requests);
-  text += ",\"fetches\":" + std::to_string(counted.attempts);
-  for (std::size_t i = 0; i < counted.by_kind.size(); ++i)
-    text.append(",\"").append(kNames[i]).append("\":") += std::to_string(counted.by_kind[i]);
+  std::string text = "{\"visits\":" + std::to_string(differences.requests);
+  text += ",\"fetches\":" + std::to_string(differences.attempts);
+  for (std::size_t i = 0; i < differences.by_kind.size(); ++i)
+    text.append(",\"").append(kNames[i]).append("\":") += std::to_string(differences.by_kind[i]);
   return text + "}\n";
 }
 
-class ShadowPolicy::Listener final : public Host {
+class ShadowPolicy::SideHost final : public Host {
  public:
-  Listener(ShadowPolicy& owner, Side side) : owner_(owner), side_(side) {}
+  SideHost(ShadowPolicy& owner, Side side) : owner_(owner), side_(side) {}
   void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override {
-    owner_.attempted(side_, request, endpoint);
+    owner_.record_attempt(side_, request, endpoint);
     if (side_ == Acting) owner_.host_.start_attempt(request, endpoint, attempt_deadline);
   }
   void cancel_attempt(RequestId request, int number) override {
     if (side_ == Acting) owner_.host_.cancel_attempt(request, number);
-    else owner_.cancelled(request, number);
+    else owner_.record_cancellation(request, number);
   }
   void reject_request(RequestId request, double wait) override {
-    owner_.answered(side_, request);
+    owner_.record_answer(side_, request);
     if (side_ == Acting) owner_.host_.reject_request(request, wait);
   }
   void fail_request(RequestId request) override {
-    owner_.answered(side_, request);
+    owner_.record_answer(side_, request);
     if (side_ == Acting) owner_.host_.fail_request(request);
   }
-  void schedule_timer(double at, std::uint64_t token) override { owner_.wake(side_, at, token); }
+  void schedule_timer(double at, std::uint64_t token) override { owner_.schedule_timer(side_, at, token); }
   void poll_endpoint_list() override {
     if (side_ == Acting) owner_.host_.poll_endpoint_list();
   }
@@ -52,147 +52,154 @@
 };
 
 ShadowPolicy::ShadowPolicy(double now, Deployment acting, Deployment shadow, std::uint64_t seed, Host& host,
-                           Differences& counted, const PolicyFactory& make)
-    : host_(host), counted_(counted), now_(now) {
-  for (Side side : {Acting, Imagined}) {
-    listeners_[side] = std::make_unique<Listener>(*this, side);
-    sides_[side] = make(now, side == Acting ? acting : shadow, seed, *listeners_[side]);
+                           Differences& differences, const PolicyFactory& make)
+    : host_(host), differences_(differences), now_(now) {
+  for (Side side : {Acting, Shadow}) {
+    hosts_[side] = std::make_unique<SideHost>(*this, side);
+    sides_[side] = make(now, side == Acting ? acting : shadow, seed, *hosts_[side]);
   }
 }
 
 ShadowPolicy::~ShadowPolicy() = default;
 
-// ---- what either asks for
+// ---- decisions of the policies
 
-void ShadowPolicy::attempted(Side side, RequestId request, std::string_view endpoint) {
+void ShadowPolicy::record_attempt(Side side, RequestId request, std::string_view endpoint) {
   Compared& compared = requests_[request];
   std::vector<Attempt>& attempts = compared.attempts[side];
-  if (std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.out; }))
+  if (std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) { return attempt.pending; }))
     ++compared.hedges[side];
   attempts.push_back({std::string(endpoint), now_, true});
 }
 
-void ShadowPolicy::answered(Side side, RequestId request) {
+void ShadowPolicy::record_answer(Side side, RequestId request) {
   requests_[request].answered[side] = true;
-  touched_.push_back(request);
+  changed_requests_.push_back(request);
 }
 
-void ShadowPolicy::cancelled(RequestId request, int number) { to_cancel_.emplace_back(request, number); }
+void ShadowPolicy::record_cancellation(RequestId request, int number) {
+  shadow_cancellations_.emplace_back(request, number);
+}
 
-// What both ask for at one time is one alarm: two would be heard at two times, and equal settings differ.
-void ShadowPolicy::wake(Side side, double at, std::uint64_t token) {
-  auto [known, fresh] = wakes_by_time_.try_emplace({at, token}, last_wake_ + 1);
+// Both policies share one timer if they ask for the same token at the same time: with two timers they would
+// see different times, and equal settings would make different decisions.
+void ShadowPolicy::schedule_timer(Side side, double due, std::uint64_t token) {
+  auto [known, fresh] = timers_by_time_.try_emplace({due, token}, last_timer_ + 1);
   if (fresh) {
-    wakes_[++last_wake_] = {at, token, {}};
-    host_.schedule_timer(at, last_wake_);
+    timers_[++last_timer_] = {due, token, {}};
+    host_.schedule_timer(due, last_timer_);
   }
-  wakes_.at(known->second).wanted[side] = true;
+  timers_.at(known->second).requested_by[side] = true;
 }
 
-// ---- what happens
+// ---- events
 
 void ShadowPolicy::on_endpoint_list(double now, ListScope scope, std::span<const ListEntry> entries) {
   now_ = now;
   for (auto& side : sides_) side->on_endpoint_list(now, scope, entries);
-  compare(now);
+  process_changes(now);
 }
 
 void ShadowPolicy::on_request(double now, const Request& request) {
   now_ = now;
-  ++counted_.requests;
+  ++differences_.requests;
   requests_[request.id];
   for (auto& side : sides_) side->on_request(now, request);
-  compare(now);
+  process_changes(now);
 }
 
 void ShadowPolicy::on_attempt_ended(double now, const AttemptEnd& end) {
   now_ = now;
   auto found = requests_.find(end.request);
   if (found != requests_.end())
-    found->second.attempts[Acting].at(std::size_t(end.attempt_number)).out = false;
+    found->second.attempts[Acting].at(std::size_t(end.attempt_number)).pending = false;
   sides_[Acting]->on_attempt_ended(now, end);
   if (found != requests_.end()) {
-    end_imagined(now, end.request, end.attempt_number, &end);
-    if (end.request_concluded) close(now, end.request);
-    touched_.push_back(end.request);
+    end_shadow_attempt(now, end.request, end.attempt_number, &end);
+    if (end.request_concluded) conclude(now, end.request);
+    changed_requests_.push_back(end.request);
   }
-  compare(now);
+  process_changes(now);
 }
 
 void ShadowPolicy::on_request_cancelled(double now, RequestId request) {
   now_ = now;
   sides_[Acting]->on_request_cancelled(now, request);
-  close(now, request);
-  touched_.push_back(request);
-  compare(now);
+  conclude(now, request);
+  changed_requests_.push_back(request);
+  process_changes(now);
 }
 
 void ShadowPolicy::on_timer(double now, std::uint64_t token) {
   now_ = now;
-  auto found = wakes_.find(token);
-  if (found == wakes_.end()) return;
-  Wake wake = found->second;
-  wakes_by_time_.erase({wake.at, wake.token});
-  wakes_.erase(found);
-  for (Side side : {Acting, Imagined}) {
-    if (wake.wanted[side]) sides_[side]->on_timer(now, wake.token);
+  auto found = timers_.find(token);
+  if (found == timers_.end()) return;
+  Timer timer = found->second;
+  timers_by_time_.erase({timer.due, timer.token});
+  timers_.erase(found);
+  for (Side side : {Acting, Shadow}) {
+    if (timer.requested_by[side]) sides_[side]->on_timer(now, timer.token);
   }
-  compare(now);
+  process_changes(now);
 }
 
-// Nobody knows what an attempt would have met that was not made: it ends as called off, which says nothing of
-// its endpoint. One to the same endpoint ends as the one that was made.
-void ShadowPolicy::end_imagined(double now, RequestId request, int number, const AttemptEnd* as) {
+// Ends an attempt that the shadow policy started. If the acting policy sent the same attempt to the same
+// endpoint, it ends in the same way. Otherwise its outcome is unknown, so it ends as cancelled, which says
+// nothing about its endpoint.
+void ShadowPolicy::end_shadow_attempt(double now, RequestId request, int number,
+                                      const AttemptEnd* acting_end) {
   Compared& compared = requests_.at(request);
-  if (number >= int(compared.attempts[Imagined].size())) return;
-  Attempt& attempt = compared.attempts[Imagined][std::size_t(number)];
-  if (!std::exchange(attempt.out, false)) return;
+  if (number >= int(compared.attempts[Shadow].size())) return;
+  Attempt& attempt = compared.attempts[Shadow][std::size_t(number)];
+  if (!std::exchange(attempt.pending, false)) return;
   AttemptEnd end{request, number, Outcome::Cancelled, false, now - attempt.sent, {}};
-  if (as) end.request_concluded = as->request_concluded;
-  if (as && attempt.endpoint == compared.attempts[Acting][std::size_t(number)].endpoint) end = *as;
-  sides_[Imagined]->on_attempt_ended(now, end);
+  if (acting_end) end.request_concluded = acting_end->request_concluded;
+  if (acting_end && attempt.endpoint == compared.attempts[Acting][std::size_t(number)].endpoint)
+    end = *acting_end;
+  sides_[Shadow]->on_attempt_ended(now, end);
 }
 
-void ShadowPolicy::close(double now, RequestId request) {
+void ShadowPolicy::conclude(double now, RequestId request) {
   auto found = requests_.find(request);
   if (found == requests_.end()) return;
-  if (!std::exchange(found->second.concluded, true) && !found->second.answered[Imagined])
-    sides_[Imagined]->on_request_cancelled(now, request);
+  if (!std::exchange(found->second.concluded, true) && !found->second.answered[Shadow])
+    sides_[Shadow]->on_request_cancelled(now, request);
 }
 
-// Counts a request's differences and forgets it, once it has its answer and none of its attempts is out.
-void ShadowPolicy::settle(double now, RequestId request) {
+// Counts the differences of a request and forgets it, once it is answered and has no pending attempts.
+void ShadowPolicy::finish(double now, RequestId request) {
   auto found = requests_.find(request);
   if (found == requests_.end()) return;
   Compared& compared = found->second;
-  const auto& [made, imagined] = compared.attempts;
-  bool out = std::any_of(made.begin(), made.end(), [](const Attempt& attempt) { return attempt.out; });
-  if (out || !(compared.concluded || compared.answered[Acting])) return;
-  close(now, request);
-  for (std::size_t n = 0; n < imagined.size(); ++n) end_imagined(now, request, int(n), nullptr);
-  counted_.attempts += made.size();
-  for (std::size_t n = 0; n < std::min(made.size(), imagined.size()); ++n)
-    differ(Differs::Endpoint, made[n].endpoint != imagined[n].endpoint);
-  differ(Differs::Hedge, compared.hedges[Acting] != compared.hedges[Imagined]);
-  differ(Differs::Ended, compared.answered[Acting] != compared.answered[Imagined]);
-  differ(Differs::OverShare, compared.over_share[Acting] != compared.over_share[Imagined]);
+  const auto& [acting, shadow] = compared.attempts;
+  bool has_pending =
+      std::any_of(acting.begin(), acting.end(), [](const Attempt& attempt) { return attempt.pending; });
+  if (has_pending || !(compared.concluded || compared.answered[Acting])) return;
+  conclude(now, request);
+  for (std::size_t n = 0; n < shadow.size(); ++n) end_shadow_attempt(now, request, int(n), nullptr);
+  differences_.attempts += acting.size();
+  for (std::size_t n = 0; n < std::min(acting.size(), shadow.size()); ++n)
+    count_differences(DecisionKind::Endpoint, acting[n].endpoint != shadow[n].endpoint);
+  count_differences(DecisionKind::Hedge, compared.hedges[Acting] != compared.hedges[Shadow]);
+  count_differences(DecisionKind::Ended, compared.answered[Acting] != compared.answered[Shadow]);
+  count_differences(DecisionKind::OverShare, compared.over_share[Acting] != compared.over_share[Shadow]);
   requests_.erase(found);
 }
 
-void ShadowPolicy::compare(double now) {
-  for (auto [request, number] : std::exchange(to_cancel_, {})) {
+void ShadowPolicy::process_changes(double now) {
+  for (auto [request, number] : std::exchange(shadow_cancellations_, {})) {
     auto found = requests_.find(request);
     if (found == requests_.end()) continue;
-    const std::vector<Attempt>& made = found->second.attempts[Acting];
+    const std::vector<Attempt>& acting = found->second.attempts[Acting];
     bool same =
-        number < int(made.size()) && made[std::size_t(number)].out &&
-        made[std::size_t(number)].endpoint == found->second.attempts[Imagined][std::size_t(number)].endpoint;
-    if (!same) end_imagined(now, request, number, nullptr);
+        number < int(acting.size()) && acting[std::size_t(number)].pending &&
+        acting[std::size_t(number)].endpoint == found->second.attempts[Shadow][std::size_t(number)].endpoint;
+    if (!same) end_shadow_attempt(now, request, number, nullptr);
   }
-  for (std::size_t i = 0; i < touched_.size(); ++i) settle(now, touched_[i]);
-  touched_.clear();
-  auto [acting, imagined] = ejections_;
-  differ(Differs::Ejected, acting > imagined ? acting - imagined : imagined - acting);
+  for (std::size_t i = 0; i < changed_requests_.size(); ++i) finish(now, changed_requests_[i]);
+  changed_requests_.clear();
+  auto [acting, shadow] = ejections_;
+  count_differences(DecisionKind::Ejected, acting > shadow ? acting - shadow : shadow - acting);
   ejections_ = {};
 }
 
--- a/src/admin/shadow_policy.h
+++ b/src/admin/shadow_policy.h
@@ -1,5 +1,6 @@
-// Watching other settings before they are switched to: a second instance of the same module, with those
-// settings, hears the same events. What it asks for is counted against what is done, and never done.
+// Tries other settings before they are switched to. A second instance of the policy, with those settings,
+// receives the same events as the acting one. Its decisions are compared with the acting ones and counted,
+// but never carried out.
 #pragma once
 
 #include <array>
@@ -12,19 +13,21 @@
 
 namespace puffinvane {
 
-// Kinds of decisions in which the watched settings differ from those that act.
-enum class Differs { Endpoint, Hedge, Ended, Ejected, OverShare, kCount };
+// The kinds of decisions that are compared.
+enum class DecisionKind { Endpoint, Hedge, Ended, Ejected, OverShare, kCount };
 
+// Numbers of compared requests and attempts, and of decisions that differed.
 struct Differences {
   std::uint64_t requests = 0, attempts = 0;
-  std::array<std::uint64_t, std::size_t(Differs::kCount)> by_kind{};
+  std::array<std::uint64_t, std::size_t(DecisionKind::kCount)> by_kind{};
 };
-std::string write_differences(const Differences& counted);  // a line of JSON
+// Returns a line of JSON.
+std::string write_differences(const Differences& differences);
 
 class ShadowPolicy final : public Policy {
  public:
   ShadowPolicy(double now, Deployment acting, Deployment shadow, std::uint64_t seed, Host& host,
-               Differences& counted, const PolicyFactory& make);
+               Differences& differences, const PolicyFactory& make);
   ~ShadowPolicy() override;
 
   void on_endpoint_list(double now, ListScope scope, std::span<const ListEntry> entries) override;
@@ -46,11 +49,11 @@
   }
 
  private:
-  enum Side { Acting, Imagined, kSides };
+  enum Side { Acting, Shadow, kSides };
   struct Attempt {
     std::string endpoint;
     double sent = 0;
-    bool out = false;
+    bool pending = false;
   };
   struct Compared {
     std::array<std::vector<Attempt>, kSides> attempts;
@@ -58,36 +61,39 @@
     std::array<bool, kSides> over_share{}, answered{};  // answered: rejected or failed by that side
     bool concluded = false;
   };
-  struct Wake {
-    double at = 0;
+  struct Timer {
+    double due = 0;
     std::uint64_t token = 0;
-    std::array<bool, kSides> wanted{};
+    std::array<bool, kSides> requested_by{};
   };
-  // One side's Host: the acting one's wishes are passed on, the imagined one's only noted.
-  class Listener;
+  // The Host of one side: carries out the decisions of the acting policy, and only records those of the
+  // shadow policy.
+  class SideHost;
 
-  void attempted(Side side, RequestId request, std::string_view endpoint);
-  void answered(Side side, RequestId request);
-  void cancelled(RequestId request, int number);
-  void wake(Side side, double at, std::uint64_t token);
-  void compare(double now);
-  void settle(double now, RequestId request);
-  void differ(Differs kind, std::uint64_t count) { counted_.by_kind[std::size_t(kind)] += count; }
-  void end_imagined(double now, RequestId request, int number, const AttemptEnd* as);
-  void close(double now, RequestId request);
+  void record_attempt(Side side, RequestId request, std::string_view endpoint);
+  void record_answer(Side side, RequestId request);
+  void record_cancellation(RequestId request, int number);
+  void schedule_timer(Side side, double due, std::uint64_t token);
+  void process_changes(double now);
+  void finish(double now, RequestId request);
+  void count_differences(DecisionKind kind, std::uint64_t count) {
+    differences_.by_kind[std::size_t(kind)] += count;
+  }
+  void end_shadow_attempt(double now, RequestId request, int number, const AttemptEnd* acting_end);
+  void conclude(double now, RequestId request);
 
   Host& host_;
-  Differences& counted_;
+  Differences& differences_;
   double now_ = 0;
-  std::unique_ptr<Listener> listeners_[kSides];
+  std::unique_ptr<SideHost> hosts_[kSides];
   std::unique_ptr<Policy> sides_[kSides];
-  std::map<RequestId, Compared> requests_;  // those in hand
-  std::map<std::uint64_t, Wake> wakes_;
-  std::map<std::pair<double, std::uint64_t>, std::uint64_t> wakes_by_time_;
-  std::uint64_t last_wake_ = 0;
+  std::map<RequestId, Compared> requests_;  // pending
+  std::map<std::uint64_t, Timer> timers_;
+  std::map<std::pair<double, std::uint64_t>, std::uint64_t> timers_by_time_;
+  std::uint64_t last_timer_ = 0;
   std::array<std::uint64_t, kSides> ejections_{};
-  std::vector<std::pair<RequestId, int>> to_cancel_;
-  std::vector<RequestId> touched_;  // by this event
+  std::vector<std::pair<RequestId, int>> shadow_cancellations_;
+  std::vector<RequestId> changed_requests_;  // by the current event
 };
 
 }  // namespace puffinvane
--- a/src/admin/telemetry.cpp
+++ b/src/admin/telemetry.cpp
@@ -4,34 +4,34 @@
 
 namespace {
 
-void head(std::string& text, std::string_view name, std::string_view type, std::string_view help) {
+void write_header(std::string& text, std::string_view name, std::string_view type, std::string_view help) {
   text.append("# HELP sidecar_").append(name).append(" ").append(help);
   text.append("\n# TYPE sidecar_").append(name).append(" ").append(type).append("\n");
 }
 
-std::string label(std::string_view value) {
-  std::string written;
+std::string escape_label(std::string_view value) {
+  std::string escaped;
   for (char each : value) {
-    if (each == '\n') written += "\\n";
-    else if (each == '"' || each == '\\') (written += '\\') += each;
-    else written += each;
+    if (each == '\n') escaped += "\\n";
+    else if (each == '"' || each == '\\') (escaped += '\\') += each;
+    else escaped += each;
   }
-  return written;
+  return escaped;
 }
 
-void single(std::string& text, std::string_view name, std::string_view type, std::string_view help,
-            std::uint64_t figure) {
-  head(text, name, type, help);
-  text.append("sidecar_").append(name).append(" ").append(std::to_string(figure)).append("\n");
+void write_metric(std::string& text, std::string_view name, std::string_view type, std::string_view help,
+                  std::uint64_t value) {
+  write_header(text, name, type, help);
+  text.append("sidecar_").append(name).append(" ").append(std::to_string(value)).append("\n");
 }
 
 }  // namespace
 
 std::string write_telemetry(const std::vector<RequestClass>& request_classes, const RequestCounters& counters,
-                            const Standing& standing, std::uint64_t dropped_log_lines) {
+                            const CurrentCounts& current, std::uint64_t dropped_log_lines) {
   struct Counter {
     std::string_view name, help;
-    RequestOutcome how;
+    RequestOutcome outcome;
   };
   static constexpr Counter kCounters[] = {
       {"answered_total", "Visits delivered, by path prefix.", RequestOutcome::Delivered},
@@ -40,27 +40,30 @@
       {"errored_total", "Visits errored, by path prefix: they may have run.", RequestOutcome::Failed}};
   std::string text;
   for (const Counter& counter : kCounters) {
-    head(text, counter.name, "counter", counter.help);
+    write_header(text, counter.name, "counter", counter.help);
     for (std::size_t i = 0; i < request_classes.size(); ++i) {
-      text.append("sidecar_").append(counter.name).append("{group=\"").append(label(request_classes[i].name));
-      text.append("\"} ").append(std::to_string(counters.count(i, counter.how))).append("\n");
+      text.append("sidecar_")
+          .append(counter.name)
+          .append("{group=\"")
+          .append(escape_label(request_classes[i].name));
+      text.append("\"} ").append(std::to_string(counters.count(i, counter.outcome))).append("\n");
     }
   }
-  single(text, "sends_total", "counter", "Backend fetches written whole to endpoints.",
-         counters.attempts_sent());
-  single(text, "current", "gauge", "Visits taken and not ended.", standing.under_way);
-  single(text, "cluster_size", "gauge", "Endpoints in the list.", standing.endpoints);
-  single(text, "cluster_unhealthy", "gauge", "Listed endpoints avoided now, by order or by choice.",
-         standing.avoided);
-  single(text, "log_lines_dropped_total", "counter",
-         "Log lines that were dropped because the log's reader did not take them.", dropped_log_lines);
+  write_metric(text, "sends_total", "counter", "Backend fetches written whole to endpoints.",
+               counters.attempts_sent());
+  write_metric(text, "current", "gauge", "Visits taken and not ended.", current.active_requests);
+  write_metric(text, "cluster_size", "gauge", "Endpoints in the list.", current.endpoints);
+  write_metric(text, "cluster_unhealthy", "gauge", "Listed endpoints avoided now, by order or by choice.",
+               current.avoided_endpoints);
+  write_metric(text, "log_lines_dropped_total", "counter",
+               "Log lines that were dropped because the log's reader did not take them.", dropped_log_lines);
   return text;
 }
 
 std::string write_telemetry(const std::vector<fleet::Fleet::Figure>& figures) {
   std::string text;
   for (const auto& one : figures)
-    single(text, std::string("fleet_") + one.name, one.type, one.help, one.value);
+    write_metric(text, std::string("fleet_") + one.name, one.type, one.help, one.value);
   return text;
 }
 
--- a/src/admin/telemetry.h
+++ b/src/admin/telemetry.h
@@ -1,4 +1,4 @@
-// The figures as text, in the Prometheus exposition format.
+// Writes metrics in the Prometheus exposition format.
 #pragma once
 
 #include <cstddef>
@@ -12,12 +12,15 @@
 
 namespace puffinvane {
 
-struct Standing {  // as things are now
-  std::size_t under_way = 0, endpoints = 0, avoided = 0;
+// The values of the gauges.
+struct CurrentCounts {
+  std::size_t active_requests = 0;
+  std::size_t endpoints = 0;          // in the list
+  std::size_t avoided_endpoints = 0;  // excluded or ejected
 };
 
 std::string write_telemetry(const std::vector<RequestClass>& request_classes, const RequestCounters& counters,
-                            const Standing& standing, std::uint64_t dropped_log_lines);
+                            const CurrentCounts& current, std::uint64_t dropped_log_lines);
 
 std::string write_telemetry(const std::vector<fleet::Fleet::Figure>& figures);
 
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -17,46 +17,50 @@
 namespace puffinvane {
 namespace {
 
-struct Heeded {
+struct SignalAction {
   int signal;
-  void (Lifecycle::*act)();
+  void (Lifecycle::*action)();
 };
-constexpr Heeded kHeeded[] = {{SIGTERM, &Lifecycle::on_terminate_signal},
-                              {SIGINT, &Lifecycle::on_terminate_signal},
-                              {SIGHUP, &Lifecycle::on_reload_signal}};
-
-// Held back from the very start: one that comes while the program still reads its file would end it.
-sigset_t hold_back() {
-  sigset_t heeded;
-  sigemptyset(&heeded);
-  for (const Heeded& one : kHeeded) sigaddset(&heeded, one.signal);
-  sigprocmask(SIG_BLOCK, &heeded, nullptr);
-  return heeded;
+constexpr SignalAction kSignalActions[] = {{SIGTERM, &Lifecycle::on_terminate_signal},
+                                           {SIGINT, &Lifecycle::on_terminate_signal},
+                                           {SIGHUP, &Lifecycle::on_reload_signal}};
+
+// Blocks the handled signals; a signal that arrives while the program still reads its file would end it
+// otherwise.
+sigset_t block_signals() {
+  sigset_t handled;
+  sigemptyset(&handled);
+  for (const SignalAction& entry : kSignalActions) sigaddset(&handled, entry.signal);
+  sigprocmask(SIG_BLOCK, &handled, nullptr);
+  return handled;
 }
 
-// Signals as something to read: a handler could interrupt anything, and GLib's own way starts a thread.
-class Signals {
+// Reads signals from a signalfd on the loop's thread. A signal handler could interrupt any code, and GLib's
+// unix signal sources start a thread.
+class SignalReader {
  public:
-  Signals(Loop& loop, Lifecycle& lifecycle, const sigset_t& heeded) : lifecycle_(lifecycle) {
-    descriptor_ = retry_on_shortage([&heeded] { return signalfd(-1, &heeded, SFD_NONBLOCK | SFD_CLOEXEC); });
-    if (descriptor_ < 0) throw std::runtime_error("no descriptor for signals");
+  SignalReader(Loop& loop, Lifecycle& lifecycle, const sigset_t& handled) : lifecycle_(lifecycle) {
+    descriptor_ =
+        retry_on_shortage([&handled] { return signalfd(-1, &handled, SFD_NONBLOCK | SFD_CLOEXEC); });
+    if (descriptor_ < 0) throw std::runtime_error("can't create a signalfd");
     GSource* source = g_unix_fd_source_new(descriptor_, G_IO_IN);
-    auto came = [](gint descriptor, GIOCondition, gpointer self) -> gboolean {
+    auto on_readable = [](gint descriptor, GIOCondition, gpointer self) -> gboolean {
       signalfd_siginfo signal_info;
       while (read(descriptor, &signal_info, sizeof signal_info) > 0) {
-        for (const Heeded& one : kHeeded) {
-          if (one.signal == int(signal_info.ssi_signo)) (static_cast<Signals*>(self)->lifecycle_.*one.act)();
+        for (const SignalAction& entry : kSignalActions) {
+          if (entry.signal == int(signal_info.ssi_signo))
+            (static_cast<SignalReader*>(self)->lifecycle_.*entry.action)();
         }
       }
       return G_SOURCE_CONTINUE;
     };
-    g_source_set_callback(source, G_SOURCE_FUNC(+came), this, nullptr);
+    g_source_set_callback(source, G_SOURCE_FUNC(+on_readable), this, nullptr);
     g_source_attach(source, loop.context());
     source_ = Source(source);
   }
-  Signals(const Signals&) = delete;
-  Signals& operator=(const Signals&) = delete;
-  ~Signals() {
+  SignalReader(const SignalReader&) = delete;
+  SignalReader& operator=(const SignalReader&) = delete;
+  ~SignalReader() {
     source_.reset();
     close(descriptor_);
   }
@@ -71,13 +75,13 @@
 
 namespace {
 
-// Time that the reader of the log has for the last lines. Responses are written by then, and SIGKILL follows
-// 0.17 s after the end of a drain.
+// Time to wait for the reader of the log to take the last lines. All responses are written by then, and
+// SIGKILL follows 0.17 s after the end of a drain.
 constexpr double kLastLinesSeconds = 0.05;
-// The same for the message of a start that failed.
+// Time to wait for the reader to take the error message of a failed start.
 constexpr double kFailureMessageSeconds = 1;
 
-// Standard error may be the pipe of the log, with nobody who reads it.
+// Standard error may be the same full pipe as the log, so a plain write could block.
 void write_failure_message(std::string_view reason) {
   LogOutput output(STDERR_FILENO);
   std::ostream stream(&output);
@@ -90,66 +94,67 @@
 int run_program(ProcessLog& process_log,
                 const std::function<std::unique_ptr<Lifecycle>(std::unique_ptr<Loop>&)>& prepare) {
   std::signal(SIGPIPE, SIG_IGN);
-  const sigset_t heeded = hold_back();
+  const sigset_t handled = block_signals();
   try {
-    std::unique_ptr<Loop> loop;  // outlives what it carries
+    std::unique_ptr<Loop> loop;  // destroyed last, as the others use it
     std::unique_ptr<Lifecycle> lifecycle = prepare(loop);
     if (!lifecycle) return 1;
     LogDrain log_drain(*loop, process_log);
-    Signals signals(*loop, *lifecycle, heeded);
+    SignalReader signal_reader(*loop, *lifecycle, handled);
     lifecycle->start();
     loop->run();
     if (!lifecycle->failure().empty()) throw std::runtime_error(lifecycle->failure());
     process_log.output().write_queued_within(kLastLinesSeconds);
     return 0;
-  } catch (const std::exception& fault) {
+  } catch (const std::exception& error) {
     if (process_log.log().as_json()) {
-      process_log.log().event(Level::Error, "program.failed").with("why", fault.what());
+      process_log.log().event(Level::Error, "program.failed").with("why", error.what());
     }
     process_log.output().write_queued_within(kLastLinesSeconds);
-    write_failure_message(fault.what());
+    write_failure_message(error.what());
     return 1;
   }
 }
 
 namespace {
 
-// A predecessor answers within a turn of its loop, and one that is stopped never does.
+// A running predecessor answers within one iteration of its loop; a stopped process never answers.
 constexpr double kTakeoverTimeoutSeconds = 1;
 
-Takeover take_over(Log& log, SidecarConfig& assignment) {
+// Asks the predecessor, if there is one, to hand over; keeps the newer endpoint list of both.
+Takeover take_over(Log& log, SidecarConfig& config) {
   Result<Takeover, TakeoverError> requested =
-      request_takeover(control_path(assignment.listen), kTakeoverTimeoutSeconds);
+      request_takeover(control_path(config.listen), kTakeoverTimeoutSeconds);
   if (!requested) {
     if (requested.error() != TakeoverError::NoPredecessor) {
       log.event(Level::Warning, "hot_restart.takeover_failed")
-          .with("name", assignment.name)
+          .with("name", config.name)
           .with("reason", to_string(requested.error()));
     }
     return {};
   }
   Takeover takeover = std::move(requested.value());
-  if (takeover.list && takeover.list->index >= assignment.known.index) assignment.known = *takeover.list;
-  log.event(Level::Info, "hot_restart.takeover_received").with("name", assignment.name);
+  if (takeover.list && takeover.list->index >= config.known.index) config.known = *takeover.list;
+  log.event(Level::Info, "hot_restart.takeover_received").with("name", config.name);
   return takeover;
 }
 
 }  // namespace
 
-int run_sidecar(PolicyFactory make) {
+int run_sidecar(PolicyFactory make_policy) {
   const char* level = std::getenv("PUFFINVANE_LOG");
   ProcessLog process_log(STDOUT_FILENO, parse_log_level(level ? level : "info"));
   Log& log = process_log.log();
   return run_program(process_log, [&](std::unique_ptr<Loop>& loop) {
     const char* file = std::getenv("BALANCER_CONFIG");
-    SidecarConfig assignment = load_sidecar_config(file);
+    SidecarConfig config = load_sidecar_config(file);
     const char* admin = std::getenv("BALANCER_CONSOLE");
-    if (assignment.admin.empty() && admin) assignment.admin = admin;
-    if (assignment.fleet) assignment.fleet->admin = assignment.admin;
-    loop = std::make_unique<Loop>(log, assignment.descriptors);
+    if (config.admin.empty() && admin) config.admin = admin;
+    if (config.fleet) config.fleet->admin = config.admin;
+    loop = std::make_unique<Loop>(log, config.descriptors);
     Takeover takeover;
-    if (!assignment.admin.empty()) takeover = take_over(log, assignment);
-    return std::make_unique<Sidecar>(*loop, std::move(assignment), file, make, std::move(takeover));
+    if (!config.admin.empty()) takeover = take_over(log, config);
+    return std::make_unique<Sidecar>(*loop, std::move(config), file, make_policy, std::move(takeover));
   });
 }
 
--- a/src/server/run.h
+++ b/src/server/run.h
@@ -1,4 +1,4 @@
-// A program that serves, from start to exit.
+// Runs a serving process: signals, log, event loop and exit code.
 #pragma once
 
 #include <functional>
@@ -10,14 +10,13 @@
 
 namespace puffinvane {
 
-// The platform's sidecar with the decisions that it is given: puffinvane's own, or those of a baseline that
-// it is measured against. Told by BALANCER_CONFIG, logs at PUFFINVANE_LOG's level. What the program exits
-// with.
-int run_sidecar(PolicyFactory make);
+// Runs the sidecar with the given policy: puffinvane's own, or a baseline that it is measured against.
+// BALANCER_CONFIG names the configuration file, PUFFINVANE_LOG the log level. Returns the exit code.
+int run_sidecar(PolicyFactory make_policy);
 
-// Blocks signals while `prepare` reads the settings; the lifecycle that it returns handles them. Log lines
-// that the reader does not take are queued; at the end the process waits for them briefly. Returns the exit
-// code.
+// Runs the lifecycle that `prepare` creates, together with the loop that it stores in its argument. Signals
+// are blocked while `prepare` reads the settings; afterwards the lifecycle handles them. On exit, waits
+// briefly until the queued log lines are written. Returns the exit code.
 int run_program(ProcessLog& process_log,
                 const std::function<std::unique_ptr<Lifecycle>(std::unique_ptr<Loop>&)>& prepare);
 
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -1,4 +1,4 @@
-// A site from start to exit: several listeners, many pools, one version of it all at a time.
+// Serves a site: several listeners and pools, from one version of the site at a time.
 #pragma once
 
 #include <functional>
@@ -19,28 +19,28 @@
 
 class Server final : public Lifecycle, DownstreamConnections::Server {
  public:
-  // Reads the site anew; nothing if it can't be used, with `why` in a few words.
+  // Reads the site again. Returns nothing if it can't be used and sets `why` to the reason.
   using Read = std::function<std::optional<site::Site>(std::string& why)>;
 
-  // killed_after: seconds from SIGTERM until whoever sent it kills.
+  // kill_timeout: seconds from SIGTERM to SIGKILL.
   Server(Loop& loop, site::Site site, Read read, std::uint64_t seed, PolicyFactory make,
-         double killed_after = kKillTimeoutSeconds);
+         double kill_timeout = kKillTimeoutSeconds);
   void start() override;
 
  private:
-  // A pool at work. Its forwarder goes with its deployment: one that changes is replaced, its pending
-  // requests end under the old one.
-  struct Running : DiscoveryWatch::Owner {
+  // A pool in use. Its forwarder has the settings of one version: if they change, a new pool replaces this
+  // one, and the pending requests end in the old forwarder.
+  struct RunningPool : DiscoveryWatch::Owner {
     void on_endpoint_list(const EndpointList& list) override;
-    EndpointList known() const;  // what discovery has said, all in all
+    EndpointList known() const;  // the whole list, from all updates of discovery
     site::Pool pool;
     std::unique_ptr<RequestForwarder> forwarder;
     EndpointStarts starts;
     std::unique_ptr<DiscoveryWatch> watch;
-    std::map<std::string, std::pair<ListEntry, std::string>> listed;  // by discovery, with addresses
-    std::map<std::string, double> since;  // when a static endpoint joined; 0: with the pool itself
+    std::map<std::string, std::pair<ListEntry, std::string>> listed;  // by discovery: entry and address
+    std::map<std::string, double> since;  // when each static endpoint was added; 0: together with the pool
   };
-  struct Opened {
+  struct OpenListener {
     site::Listener configured;
     std::unique_ptr<Listener> listener;
   };
@@ -54,43 +54,44 @@
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
     return downstream_.empty() &&
-           std::ranges::all_of(listeners_, [](const Opened& one) { return one.listener->is_closed(); });
+           std::ranges::all_of(listeners_, [](const OpenListener& one) { return one.listener->is_closed(); });
   }
   void on_stopped() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
 
-  void take(DownstreamConnection& downstream, HttpMessage request, const routing::Decision& decision);
-  void open_listeners(const site::Site& site);  // throws, and has changed nothing
+  void forward(DownstreamConnection& downstream, HttpMessage request, const routing::Decision& decision);
+  void open_listeners(const site::Site& site);  // strong exception guarantee
   void close_listeners(const site::Site& site);
   void set_pools(const site::Site& site);
-  void list(Running& running, const site::Pool& pool, bool joins);
-  void inherit(const std::vector<Running*>& fresh);
-  void retire(std::unique_ptr<Running> running, const std::vector<Running*>& fresh);
-  void look_at_retired();
-  std::string_view listener_of(int listener) const;
+  void set_endpoints(RunningPool& running, const site::Pool& pool, bool was_running);
+  void inherit_learned_state(const std::vector<RunningPool*>& added);
+  void retire(std::unique_ptr<RunningPool> running, const std::vector<RunningPool*>& added);
+  void delete_finished_pools();
+  std::string_view listener_name(int id) const;
   std::string new_request_id();
 
   Read read_;
   PolicyFactory make_;
-  pcg64 chance_;
+  pcg64 random_;
   routing::Router router_;
   std::string version_;
-  const double killed_after_;
-  std::optional<double> gone_;
+  const double kill_timeout_;
+  std::optional<double> drain_deadline_;  // set once the process drains
   ConnectionLimiter limiter_;
   DownstreamConnections downstream_;
-  std::vector<Opened> listeners_;
-  int last_listener_ = 0;
-  int tries_ = 0;  // in a row that a listener could not be opened for want of something on this machine
-  std::map<std::string, std::unique_ptr<Running>> pools_, before_;  // before_: only while a version changes
-  std::vector<Running*> by_place_;                                  // as the router numbers them
-  std::vector<std::unique_ptr<Running>> retired_;
-  std::vector<routing::Field> fields_;
+  std::vector<OpenListener> listeners_;
+  int last_listener_id_ = 0;
+  int open_tries_ = 0;  // consecutive failures to open a listener for lack of a local resource
+  std::map<std::string, std::unique_ptr<RunningPool>> pools_;
+  std::map<std::string, std::unique_ptr<RunningPool>> previous_pools_;  // only used within set_pools()
+  std::vector<RunningPool*> pools_by_index_;                            // in the router's order
+  std::vector<std::unique_ptr<RunningPool>> retired_;  // replaced pools with pending requests
+  std::vector<routing::Field> fields_;  // of the request being routed; reused to avoid allocations
   LifetimeToken alive_;
 };
 
-// `puffinvane serve`. level: the log's; killed_after: seconds from SIGTERM until whoever sent it kills. What
-// the program exits with: 1 where the site has faults.
-int run_site(const std::string& file, const std::string& level, bool json_log, double killed_after);
+// Runs `puffinvane serve`. level: of the log. kill_timeout: seconds from SIGTERM to SIGKILL. Returns the exit
+// code, which is 1 if the site has faults.
+int run_site(const std::string& file, const std::string& level, bool json_log, double kill_timeout);
 
 }  // namespace puffinvane::serving
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -1,4 +1,4 @@
-// The platform's sidecar: one pool, whose endpoints discovery lists, behind one listener.
+// The platform's sidecar: one listener and one pool, whose endpoints come from discovery.
 #pragma once
 
 #include <string>
@@ -17,13 +17,14 @@
 
 class Sidecar final : public Lifecycle,
                       DownstreamConnections::Server,
-                      Operations::Host,
+                      OverrideController::Host,
                       AdminApi::Owner,
                       HotRestart::Owner,
                       fleet::Fleet::Owner {
  public:
-  // takeover: from the process that it takes over from, if there is one.
-  Sidecar(Loop& loop, SidecarConfig assignment, std::string assigned_in, PolicyFactory make,
+  // config_path: the file to read again on a reload. takeover: what the predecessor handed over, if there is
+  // one.
+  Sidecar(Loop& loop, SidecarConfig config, std::string config_path, PolicyFactory make,
           Takeover takeover = {});
   void start() override;
 
@@ -46,20 +47,23 @@
   void on_stopped() override;
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
 
-  bool knows(std::string_view endpoint) const override { return forwarder_.knows_endpoint(endpoint); }
-  void stop(std::string_view endpoint) override;
-  void use_again(std::string_view endpoint, double out_since) override;
-  void last_answers(bool on) override { downstream_.last_call(on); }
-  bool ready() const override { return serving_; }
-  std::string telemetry() const override;
+  bool knows_endpoint(std::string_view endpoint) const override {
+    return forwarder_.knows_endpoint(endpoint);
+  }
+  void exclude_endpoint(std::string_view endpoint) override;
+  void include_endpoint(std::string_view endpoint, double excluded_since) override;
+  void set_last_responses(bool on) override { downstream_.last_call(on); }
+  bool is_ready() const override { return serving_; }
+  std::string metrics() const override;
   void on_override() override;
-  std::string fleet() const override { return fleet_ ? fleet_->shown(part_) : ""; }
+  std::string fleet_json() const override { return fleet_ ? fleet_->shown(part_) : ""; }
   void on_members() override { members_changed_ = true; }
-  void look_at_shares();
+  // Divides the listed endpoints among the members of the fleet; checks for changes at an interval.
+  void update_endpoint_shares();
   GSocket* listener_socket() override { return listener_.socket(); }
   EndpointList endpoint_list() const override;
   OperatorOverrides operator_overrides() const override {
-    return {operations_.all_out(), operations_.drains_since()};
+    return {overrides_.excluded_since(), overrides_.draining_since()};
   }
   void on_operator_overrides(const OperatorOverrides& overrides) override;
   LearnedState learned_state() const override { return forwarder_.export_learned_state(); }
@@ -68,17 +72,21 @@
     downstream_.take_over(std::move(socket), history == ConnectionHistory::Used);
   }
   void on_peer_presence(PeerPresence presence) override { limiter_.share(presence == PeerPresence::Present); }
-  void look_at_drain();
-  bool informed() const;
+  // Carries out the steps of a drain that an operator ordered; repeats itself while the drain lasts.
+  void update_drain();
+  bool has_current_list() const;
 
-  SidecarConfig assignment_;
-  const std::string assigned_in_;
+  SidecarConfig config_;
+  const std::string config_path_;
   double started_ = 0;
-  int unread_ = 0;  // tries in a row that its file could not be read for want of something here
-  bool serving_ = false, leaving_ = false, looking_ = false, members_changed_ = false,
-       has_predecessor_ = false;
+  int failed_reads_ = 0;  // consecutive reloads that failed for lack of a local resource
+  bool serving_ = false;
+  bool draining_ = false;
+  bool drain_update_scheduled_ = false;
+  bool members_changed_ = false;  // since the endpoints were divided last
+  bool has_predecessor_ = false;
   std::optional<fleet::Fleet::Part> part_;
-  std::int64_t shared_list_ = -1;  // the list that its part was cut from
+  std::int64_t shared_list_index_ = -1;  // the endpoint list that part_ was computed from
   Differences differences_;
   ConnectionLimiter limiter_;
   RequestForwarder forwarder_;
@@ -86,11 +94,11 @@
   Listener listener_;
   EndpointStarts starts_;
   DiscoveryWatch watch_;
-  Operations operations_;
+  OverrideController overrides_;
   Takeover takeover_;
-  std::optional<HotRestart> hot_restart_;  // none: with nobody to order it, nobody to follow it either
-  std::optional<AdminApi> admin_;          // none: operators call nowhere
-  std::optional<fleet::Fleet> fleet_;      // none: it shares nothing with other instances
+  std::optional<HotRestart> hot_restart_;  // none without an admin API: nobody could order a restart
+  std::optional<AdminApi> admin_;          // none: no address is configured
+  std::optional<fleet::Fleet> fleet_;      // none: this process is not part of a fleet
   LifetimeToken alive_;
 };
 
--- a/src/server/sidecar_config.h
+++ b/src/server/sidecar_config.h
@@ -1,4 +1,4 @@
-// What this sidecar is told when it starts.
+// The configuration of the sidecar, read from the JSON file that BALANCER_CONFIG names.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,30 @@
 namespace puffinvane {
 
 struct SidecarConfig {
-  std::string name, listen, discovery;
-  std::string admin;  // where operators call; empty: nowhere
+  std::string name;
+  std::string listen;     // address of the listener
+  std::string discovery;  // address
+  std::string admin;      // address of the admin API; empty: there is none
   std::uint64_t seed = 0;
-  int descriptors = 1024;
+  int descriptors = 1024;           // limit on open descriptors
   std::size_t memory = 192u << 20;  // bytes
   Deployment deployment;
-  std::optional<Deployment> shadow;  // other settings whose decisions are only counted
-  EndpointList known;
+  std::optional<Deployment> shadow;  // settings of the shadow policy
+  EndpointList known;                // endpoints to use until discovery has answered
   DiscoveryMode discovery_mode = DiscoveryMode::Pushed;
-  std::optional<fleet::Place> fleet;  // none: it talks to no other instance
+  std::optional<fleet::Place> fleet;  // none: it is not part of a fleet
 };
 
-// The file could not be read for want of something on this machine, and may be a little later.
-struct NotReadNow : Malformed {
+// The file could not be read for lack of a resource on this machine; a later try may succeed.
+struct TemporarilyUnreadable : Malformed {
   using Malformed::Malformed;
 };
-// What to do then: wait for some seconds, as only a process that serves nobody yet can, or throw NotReadNow.
-enum class OnWant { Wait, Throw };
+// What to do in that case. Wait: retry for some seconds, which blocks the thread, so only before the process
+// serves. Throw: throw TemporarilyUnreadable.
+enum class OnShortage { Wait, Throw };
 
-// Throws Malformed with a plain message that says what is wrong.
+// Both throw Malformed with a message that says what is wrong.
 SidecarConfig read_sidecar_config(simdjson::dom::element config);
-SidecarConfig load_sidecar_config(const char* path, OnWant want = OnWant::Wait);
+SidecarConfig load_sidecar_config(const char* path, OnShortage on_shortage = OnShortage::Wait);
 
 }  // namespace puffinvane
--- a/src/server/sidecar_main.cpp
+++ b/src/server/sidecar_main.cpp
@@ -1,5 +1,5 @@
-// Without arguments the platform's sidecar, told by BALANCER_CONFIG. With them it becomes the command line, a
-// program of its own beside it: the sidecar at rest was 0.3 MB heavier with all of that in it.
+// Without arguments this program is the platform's sidecar. With arguments it executes the command line, a
+// separate program beside it: an idle sidecar used 0.3 MB more memory with the command line linked in.
 #include <unistd.h>
 
 #include <filesystem>
@@ -7,12 +7,13 @@
 
 #include "src/server/run.h"
 
-int main(int count, char** words) {
-  if (count <= 1) return puffinvane::run_sidecar(puffinvane::make_policy);
-  std::error_code fault;
-  std::filesystem::path own = std::filesystem::read_symlink("/proc/self/exe", fault);
-  std::filesystem::path beside = own.parent_path() / "puffinvane_command";
-  execv(beside.c_str(), words);
-  std::cerr << "puffinvane: " << beside.string() << " can't be started; it belongs beside this program\n";
+int main(int argc, char** argv) {
+  if (argc <= 1) return puffinvane::run_sidecar(puffinvane::make_policy);
+  std::error_code error;
+  std::filesystem::path program = std::filesystem::read_symlink("/proc/self/exe", error);
+  std::filesystem::path command = program.parent_path() / "puffinvane_command";
+  execv(command.c_str(), argv);
+  std::cerr << "puffinvane: " << command.string()
+            << ": can't be executed; it has to be in the same directory as this program\n";
   return 2;
 }
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -69,7 +69,7 @@
   reload(kReloads);
   std::string text = log_.read_all();  // lines may come while it is still being read
   int lines = 0;
-  const std::string line = "reads its file anew";
+  const std::string line = "reloads its configuration";
 
   for (double until = now() + 5; lines < kReloads && now() < until;) {
     text += log_.read_until(line, 0.1);
