--- a/src/admin/admin_api.h
+++ b/src/admin/admin_api.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "src/admin/operations.h"
+#include "src/admin/override_controller.h"
 #include "src/net/listener.h"
 #include "src/proxy/downstream_connections.h"
 
--- a/src/admin/operations.cpp
+++ b/src/admin/override_controller.cpp
@@ -1,4 +1,4 @@
-#include "src/admin/operations.h"
+#include "src/admin/override_controller.h"
 
 namespace puffinvane {
 
--- a/src/admin/operations_test.cpp
+++ b/src/admin/override_controller_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "src/admin/operations.h"
+#include "src/admin/override_controller.h"
 
 using namespace puffinvane;
 
