--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -24,68 +24,72 @@
 using language::Reading;
 using nlohmann::json;
 
-enum Exit { Good = 0, Bad = 1, Useless = 2 };
+// The exit codes: see cli.h.
+enum ExitCode { Success = 0, Negative = 1, Unusable = 2 };
 
-std::string dumped(const json& what) { return what.dump(-1, ' ', false, json::error_handler_t::replace); }
+std::string dump(const json& value) { return value.dump(-1, ' ', false, json::error_handler_t::replace); }
 
-int unreadable(const std::string& file) {
-  std::cerr << "puffinvane: " << file << ": can't be read, or is no file of up to 64MiB\n";
-  return Useless;
+int report_unreadable(const std::string& file) {
+  std::cerr << "puffinvane: " << file << ": can't be read, or is not a file of at most 64MiB\n";
+  return Unusable;
 }
 
-// Says what is wrong with it; the exit code, Good if nothing is.
-int tell(const std::string& file, const Reading& reading) {
-  if (!reading.found) return unreadable(file);
-  if (reading.messages.none()) return Good;
+// Prints the messages about a site. Returns the exit code: Success if there are none.
+int print_messages(const std::string& file, const Reading& reading) {
+  if (!reading.found) return report_unreadable(file);
+  if (reading.messages.none()) return Success;
   std::cerr << language::shown(reading.messages, reading.sources);
-  return Bad;
+  return Negative;
 }
 
 int check(const std::vector<std::string>& files, bool as_json) {
-  int worst = Good;
+  int worst = Success;
   json all = json::array();
   for (const std::string& file : files) {
     language::Disk disk;
     Reading reading = language::read_site(file, disk);
     if (!as_json || !reading.found) {
-      worst = std::max(worst, tell(file, reading));
+      worst = std::max(worst, print_messages(file, reading));
       continue;
     }
-    worst = std::max<int>(worst, reading.messages.none() ? Good : Bad);
+    worst = std::max<int>(worst, reading.messages.none() ? Success : Negative);
     json one = {{"file", file}, {"messages", json::parse(language::json(reading.messages, reading.sources))}};
     if (reading.messages.none()) one["version"] = site::version(reading.site);
     all.push_back(std::move(one));
   }
-  if (as_json) std::cout << dumped(all) << "\n";
+  if (as_json) std::cout << dump(all) << "\n";
   return worst;
 }
 
-// Whole or not at all: who stops it halfway finds the old file.
-bool put_in_place(const std::string& file, const std::string& text) {
-  std::error_code fault;
-  fs::path real = fs::canonical(file, fault);
-  if (fault) return false;
-  fs::path beside = real.string() + ".new-" + std::to_string(getpid());
+// Replaces a file atomically: if it is interrupted, the old file stays. Returns whether it succeeded.
+bool replace_file(const std::string& file, const std::string& text) {
+  std::error_code error;
+  fs::path real = fs::canonical(file, error);
+  if (error) return false;
+  fs::path temporary = real.string() + ".new-" + std::to_string(getpid());
   {
-    std::ofstream out(beside, std::ios::binary);
+    std::ofstream out(temporary, std::ios::binary);
     out << text;
     out.flush();
-    if (!out) return fs::remove(beside, fault), false;
+    if (!out) {
+      fs::remove(temporary, error);
+      return false;
+    }
   }
-  fs::permissions(beside, fs::status(real, fault).permissions(), fault);
-  fs::rename(beside, real, fault);
-  if (!fault) return true;
-  fs::remove(beside, fault);
+  fs::permissions(temporary, fs::status(real, error).permissions(), error);
+  fs::rename(temporary, real, error);
+  if (!error) return true;
+  fs::remove(temporary, error);
   return false;
 }
 
 int format(const std::vector<std::string>& files, bool in_place) {
-  int worst = Good;
+  int worst = Success;
   for (const std::string& file : files) {
     language::Disk disk;
     std::optional<std::string> text = disk.read(file);
     if (!text) {
-      worst = unreadable(file);
+      worst = report_unreadable(file);
       continue;
     }
     language::Sources sources;
@@ -94,21 +98,21 @@
     language::Tree tree = language::parse(number, sources.text(number), messages);
     if (!messages.none()) {
       std::cerr << language::shown(messages, sources);
-      worst = std::max<int>(worst, Bad);
+      worst = std::max<int>(worst, Negative);
       continue;
     }
     std::string formatted = language::format(tree);
-    // Cheap beside a file that says something else than it did.
-    language::Messages again;
-    language::Tree back = language::parse(number, formatted, again);
-    if (!again.none() || !language::same_meaning(tree, back)) {
-      std::cerr << "puffinvane: " << file << ": its layout can't be kept; it stays as it is\n";
-      worst = Useless;
+    // Checks that the formatted text has the same meaning, as a file must never change its meaning here.
+    language::Messages new_messages;
+    language::Tree new_tree = language::parse(number, formatted, new_messages);
+    if (!new_messages.none() || !language::same_meaning(tree, new_tree)) {
+      std::cerr << "puffinvane: " << file << ": formatting would change its meaning; the file is unchanged\n";
+      worst = Unusable;
     } else if (!in_place) {
       std::cout << formatted;
-    } else if (formatted != sources.text(number) && !put_in_place(file, formatted)) {
+    } else if (formatted != sources.text(number) && !replace_file(file, formatted)) {
       std::cerr << "puffinvane: " << file << ": can't be written\n";
-      worst = Useless;
+      worst = Unusable;
     }
   }
   return worst;
@@ -116,9 +120,10 @@
 
 int diff(const std::string& before, const std::string& after, bool as_json) {
   language::Disk disk;
-  Reading was = language::read_site(before, disk), is = language::read_site(after, disk);
-  if (tell(before, was) + tell(after, is) != Good) return Useless;
-  std::vector<site::Difference> all = site::differences(was.site, is.site);
+  Reading old_site = language::read_site(before, disk);
+  Reading new_site = language::read_site(after, disk);
+  if (print_messages(before, old_site) + print_messages(after, new_site) != Success) return Unusable;
+  std::vector<site::Difference> all = site::differences(old_site.site, new_site.site);
   constexpr const char* kKinds[] = {"added", "gone", "changed"};
   constexpr char kSigns[] = {'+', '-', '~'};
   json out = json::array();
@@ -135,19 +140,22 @@
     if (!one.after.empty()) std::cout << ' ' << one.after;
     std::cout << '\n';
   }
-  if (as_json) std::cout << dumped(out) << "\n";
-  return all.empty() ? Good : Bad;
+  if (as_json) std::cout << dump(out) << "\n";
+  return all.empty() ? Success : Negative;
 }
 
-struct Asked {
+struct ExplainArguments {
   std::string file, method, url;
   std::vector<std::string> headers;
 };
 
-// "https://host/path?query" or "/path?query".
-bool split(const std::string& url, std::string& host, std::string& target) {
+// Splits "https://host/path?query" or "/path?query". Returns false if it is neither.
+bool split_url(const std::string& url, std::string& host, std::string& target) {
   std::size_t scheme = url.find("://");
-  if (url.starts_with('/')) return target = url, true;
+  if (url.starts_with('/')) {
+    target = url;
+    return true;
+  }
   if (scheme == std::string::npos) return false;
   std::size_t from = scheme + 3, slash = std::min(url.find_first_of("/?", from), url.size());
   host = url.substr(from, slash - from);
@@ -156,21 +164,21 @@
   return !host.empty();
 }
 
-int explain(const Asked& asked, const std::string& listener, bool as_json) {
+int explain(const ExplainArguments& arguments, const std::string& listener, bool as_json) {
   language::Disk disk;
-  Reading reading = language::read_site(asked.file, disk);
-  if (tell(asked.file, reading) != Good) return Useless;
+  Reading reading = language::read_site(arguments.file, disk);
+  if (print_messages(arguments.file, reading) != Success) return Unusable;
   std::string host, target;
-  if (!split(asked.url, host, target)) {
-    std::cerr << "puffinvane: `" << asked.url << "` is no URL: http://host/path, or /path\n";
-    return Useless;
+  if (!split_url(arguments.url, host, target)) {
+    std::cerr << "puffinvane: `" << arguments.url << "` is not a URL: expected http://host/path, or /path\n";
+    return Unusable;
   }
   std::vector<routing::Field> fields;
-  for (const std::string& header : asked.headers) {
+  for (const std::string& header : arguments.headers) {
     std::size_t colon = header.find(':');
     if (colon == std::string::npos || colon == 0) {
-      std::cerr << "puffinvane: `" << header << "` is no header: \"Name: value\"\n";
-      return Useless;
+      std::cerr << "puffinvane: `" << header << "` is not a header: expected \"Name: value\"\n";
+      return Unusable;
     }
     std::string_view value = std::string_view(header).substr(colon + 1);
     value.remove_prefix(std::min(value.find_first_not_of(' '), value.size()));
@@ -179,14 +187,14 @@
   }
   auto site = std::make_shared<const site::Site>(std::move(reading.site));
   std::string on = listener.empty() ? site->listeners.front().name : listener;
-  routing::RequestHead request{on, asked.method, host, target, fields};
+  routing::RequestHead request{on, arguments.method, host, target, fields};
   routing::Router router(site);
   routing::Decision decision = router.decide(request, 0);
   json out = {{"routes", json::array()}};
   if (decision.kind == routing::Decision::Kind::BadTarget) {
-    as_json ? std::cout << dumped({{"winner", nullptr}, {"why", "the path climbs"}}) << "\n"
+    as_json ? std::cout << dump({{"winner", nullptr}, {"why", "the path climbs"}}) << "\n"
             : std::cout << "no route: a path with `.` or `..` is answered 400\n";
-    return Bad;
+    return Negative;
   }
   for (const routing::Verdict& verdict : routing::explain(*site, request)) {
     const site::Route& route = site->routes[std::size_t(verdict.route)];
@@ -199,27 +207,35 @@
     }
   }
   if (decision.route < 0) {
-    as_json ? std::cout << dumped(out) << "\n" : std::cout << "no route takes it: answered 404\n";
-    return Bad;
+    as_json ? std::cout << dump(out) << "\n" : std::cout << "no route takes it: answered 404\n";
+    return Negative;
   }
   const site::Route& route = site->routes[std::size_t(decision.route)];
   out["winner"] = route.name;
-  std::string leads;
+  std::string destination;
   for (const site::Target& one : route.targets) {
     out["pools"][one.pool] = one.share;
-    leads += (leads.empty() ? "pool " : ", pool ") + one.pool;
-    if (route.targets.size() > 1) leads += " (" + std::to_string(int(one.share * 100 + 0.5)) + "%)";
+    destination += (destination.empty() ? "pool " : ", pool ") + one.pool;
+    if (route.targets.size() > 1) destination += " (" + std::to_string(int(one.share * 100 + 0.5)) + "%)";
   }
   if (route.answer.status)
-    leads = "an answer of " + std::to_string(route.answer.status), out["answer"] = route.answer.status;
-  else leads += " as " + route.request_class, out["as"] = route.request_class;
-  if (decision.target) leads += ", target " + *decision.target, out["target"] = *decision.target;
-  as_json ? std::cout << dumped(out) << "\n"
-          : std::cout << "route " << route.name << " wins: " << leads << "\n";
-  return Good;
+  {
+    destination = "an answer of " + std::to_string(route.answer.status);
+    out["answer"] = route.answer.status;
+  } else {
+    destination += " as " + route.request_class;
+    out["as"] = route.request_class;
+  }
+  if (decision.target) {
+    destination += ", target " + *decision.target;
+    out["target"] = *decision.target;
+  }
+  as_json ? std::cout << dump(out) << "\n"
+          : std::cout << "route " << route.name << " wins: " << destination << "\n";
+  return Success;
 }
 
-int program(int count, char** words) {
+int run_command(int argc, char** argv) {
   CLI::App app{
       "puffinvane, a load balancer for services that call services. Without arguments it is the platform's\n"
       "sidecar, told by BALANCER_CONFIG.\n"
@@ -227,12 +243,12 @@
       "told."};
   app.set_version_flag("--version", "puffinvane " PUFFINVANE_VERSION);
   app.require_subcommand(1);
-  int code = Good;
+  int code = Success;
   std::vector<std::string> files;
   std::string before, after, listener, level = "info", log_format = "plain", site;
   double stop_timeout = Lifecycle::kKillTimeoutSeconds;
   bool as_json = false, in_place = false;
-  Asked asked;
+  ExplainArguments arguments;
 
   auto add = [&](const char* name, const char* does) {
     CLI::App* command = app.add_subcommand(name, does);
@@ -267,13 +283,13 @@
   differing->callback([&] { code = diff(before, after, as_json); });
 
   CLI::App* explaining = add("explain", "Says which route a request takes, and why the others don't");
-  explaining->add_option("FILE", asked.file, "the site")->required();
-  explaining->add_option("METHOD", asked.method, "GET, POST, ...")->required();
-  explaining->add_option("URL", asked.url, "http://host/path?query, or /path")->required();
-  explaining->add_option("HEADER", asked.headers, "\"Name: value\", each");
+  explaining->add_option("FILE", arguments.file, "the site")->required();
+  explaining->add_option("METHOD", arguments.method, "GET, POST, ...")->required();
+  explaining->add_option("URL", arguments.url, "http://host/path?query, or /path")->required();
+  explaining->add_option("HEADER", arguments.headers, "\"Name: value\", each");
   explaining->add_option("--listener", listener, "that it comes in by; the first one if none is named");
   explaining->add_flag("--json", as_json, "as JSON");
-  explaining->callback([&] { code = explain(asked, listener, as_json); });
+  explaining->callback([&] { code = explain(arguments, listener, as_json); });
 
   CLI::App* fleet = add("fleet", "Tells of the fleet that a process is part of");
   fleet->require_subcommand(1);
@@ -287,23 +303,23 @@
   following->callback([&] { code = watch_fleet(admin); });
 
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& stopped) {
-    return app.exit(stopped) == 0 ? Good : Useless;
+    app.parse(argc, argv);
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? Success : Unusable;
   }
   std::cout.flush();
-  return std::cout ? code : Useless;  // a disk that is full, or nobody who reads on
+  return std::cout ? code : Unusable;  // the disk is full, or the reader has closed the pipe
 }
 
 }  // namespace
 
-int run(int count, char** words) {
+int run(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    return program(count, words);
-  } catch (const std::exception& fault) {
-    std::cerr << "puffinvane: " << fault.what() << std::endl;
-    return Useless;
+    return run_command(argc, argv);
+  } catch (const std::exception& error) {
+    std::cerr << "puffinvane: " << error.what() << std::endl;
+    return Unusable;
   }
 }
 
--- a/src/cli/fleet.h
+++ b/src/cli/fleet.h
@@ -1,15 +1,14 @@
-// `puffinvane fleet show|watch`: what a member's admin API tells of the fleet, and whether the others' say
-// the same.
+// `puffinvane fleet show` and `puffinvane fleet watch`: the fleet as a member's admin API reports it, and whether the other
+// members have the same view.
 #pragma once
 
 #include <string>
 
 namespace puffinvane::cli {
 
-// 0: all that could be asked hold one view; 1: some hold another, or can't be asked; 2: not even this one
-// can.
+// Returns 0 if all live members have one view, 1 if some have another or don't answer, 2 if this member doesn't answer.
 int show_fleet(const std::string& admin, bool as_json);
-// What changes, a line each, until it is ended or the admin API can't be asked.
+// Prints each change on a line until the process is ended or the admin API doesn't answer.
 int watch_fleet(const std::string& admin);
 
 }  // namespace puffinvane::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,3 +1,3 @@
 #include "src/cli/cli.h"
 
-int main(int count, char** words) { return puffinvane::cli::run(count, words); }
+int main(int argc, char** argv) { return puffinvane::cli::run(argc, argv); }
--- a/src/config/settings/deployment.cpp
+++ b/src/config/settings/deployment.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+// The value under the key, or the fallback if it is missing or has another type.
 template <typename T>
 T option(element object, std::string_view key, T fallback) {
   element found;
@@ -27,35 +28,35 @@
 
 element child(element object, std::string_view key) {
   element found;
-  if (object[key].get(found)) throw Malformed("the options lack " + std::string(key));
+  if (object[key].get(found)) throw Malformed("setting '" + std::string(key) + "' is missing");
   return found;
 }
 
 simdjson::dom::array items(element object, std::string_view key) {
   simdjson::dom::array found;
-  if (child(object, key).get(found)) throw Malformed(std::string(key) + " is not an array");
+  if (child(object, key).get(found)) throw Malformed("setting '" + std::string(key) + "' is not an array");
   return found;
 }
 
-// As `option`, but what is set has to be of use: a default in its place would hide a slip of the pen.
+// Like `option`, but throws for a value of another type: using the default instead would hide a mistake in the settings.
 template <typename T>
-T checked(element object, std::string_view key, T fallback, const char* what) {
+T checked(element object, std::string_view key, T fallback, const char* expected) {
   element found;
   if (object[key].get(found)) return fallback;
   T value;
-  if (found.get(value)) throw Malformed(std::string(key) + " is not " + what);
+  if (found.get(value)) throw Malformed("setting '" + std::string(key) + "' is not " + expected);
   return value;
 }
-double amount(element object, std::string_view key, double fallback) {
+double non_negative(element object, std::string_view key, double fallback) {
   double value = checked(object, key, fallback, "a number");
-  if (!std::isfinite(value) || value < 0) throw Malformed(std::string(key) + " is not a number from 0 on");
+  if (!std::isfinite(value) || value < 0) throw Malformed("setting '" + std::string(key) + "' is not a number of at least 0");
   return value;
 }
 bool flag(element object, std::string_view key, bool fallback) {
   return checked(object, key, fallback, "true or false");
 }
-std::string word(element object, std::string_view key, std::string_view fallback) {
-  return std::string(checked(object, key, fallback, "a word"));
+std::string text(element object, std::string_view key, std::string_view fallback) {
+  return std::string(checked(object, key, fallback, "a string"));
 }
 
 Idempotency read_idempotency(const std::string& word) {
@@ -68,8 +69,9 @@
   return word == "zone" ? IdempotencyScope::Zone : IdempotencyScope::Cell;
 }
 
-// Whose answers tell how many they serve; a depth alone does not tell how full a fleet is.
-bool served_reported(element report) {
+// Whether responses report how many requests an endpoint serves; its queue length alone does not show how loaded the fleet
+// is.
+bool reports_served_requests(element report) {
   simdjson::dom::array fields;
   if (report["Fields"].get(fields)) return true;
   for (element field : fields) {
@@ -94,7 +96,7 @@
     read.priority_weight = option(request_class, "Credit", 1.0);
     deployment.request_classes.push_back(read);
   }
-  if (deployment.request_classes.empty()) throw Malformed("the options have no PathPrefixes");
+  if (deployment.request_classes.empty()) throw Malformed("setting 'PathPrefixes' is empty");
   simdjson::dom::array tenants;
   if (!options["Customers"].get(tenants)) {
     for (element tenant : tenants) {
@@ -110,15 +112,15 @@
   deployment.connect_timeout_s = option(limits, "ConnectTimeoutS", deployment.connect_timeout_s);
   deployment.idle_timeout_s = option(limits, "ConnIdleS", deployment.idle_timeout_s);
   deployment.max_retry_after_s = option(limits, "MaxRetryAfterS", 0.0);
-  if (element fees; !options["Fees"].get(fees)) deployment.cross_zone_price = amount(fees, "CrossZone", 0.0);
+  if (element fees; !options["Fees"].get(fees)) deployment.cross_zone_price = non_negative(fees, "CrossZone", 0.0);
   if (element extra; !options["Extra"].get(extra))
     deployment.has_key_affinity = flag(extra, "WarmKeys", false);
   deployment.zone = option<std::string>(options, "Zone", "");
   if (element report; !options["Report"].get(report)) {
-    std::string via = word(report, "Via", "silent");
+    std::string via = text(report, "Via", "silent");
     if (via != "piggyback" && via != "pull" && via != "silent")
-      throw Malformed("Via is '" + via + "', not piggyback, pull or silent");
-    deployment.responses_report_load = via == "piggyback" && served_reported(report);
+      throw Malformed("setting 'Via' is '" + via + "', not piggyback, pull or silent");
+    deployment.responses_report_load = via == "piggyback" && reports_served_requests(report);
   }
   element rules = child(options, "Rules");
   deployment.slow_start.initial_share = option(rules, "ColdShare", deployment.slow_start.initial_share);
@@ -136,7 +138,7 @@
   if (element tiers; !options["Tiers"].get(tiers)) {
     std::size_t count = items(options, "Tiers").size();
     if (deployment.tier < 0 || std::size_t(deployment.tier) >= count)
-      throw Malformed("Layer is " + std::to_string(deployment.tier) + ", not a place in Tiers");
+      throw Malformed("setting 'Layer' is " + std::to_string(deployment.tier) + ", not an index into 'Tiers'");
     deployment.last_tier = std::size_t(deployment.tier) + 1 == count;
   }
   deployment.round_trip_s = option(options, "RoundS", 0.0);
