--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -36,8 +36,8 @@
       downstream_(loop, limiter, *this, kMaxBody,
                   std::size_t(std::clamp(loop.descriptors().limit() / 32, kMinClients, kMaxClients))),
       listener_(loop, downstream_, 0, Listener::Priority::High) {
-  loop.descriptors().reserve(int(downstream_.most()) + 1);
-  downstream_.last_call(true);
+  loop.descriptors().reserve(int(downstream_.max_connections()) + 1);
+  downstream_.close_after_responses(true);
 }
 
 void AdminApi::on_request(DownstreamConnection& downstream, HttpMessage request) {
@@ -55,12 +55,12 @@
                     : respond(downstream, 503, "not ready: this process takes no clients");
 }
 void AdminApi::telemetry(DownstreamConnection& downstream, std::string_view) {
-  downstream.answer(200, nullptr, "Content-Type: text/plain; version=0.0.4\r\n", owner_.metrics(), true);
+  downstream.respond(200, nullptr, "Content-Type: text/plain; version=0.0.4\r\n", owner_.metrics(), true);
 }
 void AdminApi::fleet(DownstreamConnection& downstream, std::string_view) {
   std::string json = owner_.fleet_json();
   if (json.empty()) return respond(downstream, 404, "this process is part of no fleet");
-  downstream.answer(200, nullptr, "Content-Type: application/json\r\n", json, true);
+  downstream.respond(200, nullptr, "Content-Type: application/json\r\n", json, true);
 }
 void AdminApi::exclude(DownstreamConnection& downstream, std::string_view body) {
   respond_to_order(downstream, overrides_.exclude(loop_.now(), body));
@@ -85,7 +85,7 @@
 
 void AdminApi::respond(DownstreamConnection& downstream, int status, std::string_view text,
                        std::string_view extra_headers) {
-  downstream.answer(status, nullptr, extra_headers, std::string(text) + "\n", true);
+  downstream.respond(status, nullptr, extra_headers, std::string(text) + "\n", true);
 }
 
 }  // namespace puffinvane
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -173,7 +173,7 @@
     std::cerr << "puffinvane: `" << arguments.url << "` is not a URL: expected http://host/path, or /path\n";
     return Unusable;
   }
-  std::vector<routing::Field> fields;
+  std::vector<routing::HeaderField> fields;
   for (const std::string& header : arguments.headers) {
     std::size_t colon = header.find(':');
     if (colon == std::string::npos || colon == 0) {
@@ -196,14 +196,14 @@
             : std::cout << "no route: a path with `.` or `..` is answered 400\n";
     return Negative;
   }
-  for (const routing::Verdict& verdict : routing::explain(*site, request)) {
+  for (const routing::RouteExplanation& verdict : routing::explain(*site, request)) {
     const site::Route& route = site->routes[std::size_t(verdict.route)];
     bool wins = verdict.route == decision.route;
     if (as_json) {
       out["routes"].push_back(
-          {{"route", route.name}, {"matches", verdict.matches}, {"wins", wins}, {"why", verdict.lost}});
+          {{"route", route.name}, {"matches", verdict.matches}, {"wins", wins}, {"why", verdict.why_not}});
     } else if (!wins) {
-      std::cout << "  route " << route.name << " " << verdict.lost << "\n";
+      std::cout << "  route " << route.name << " " << verdict.why_not << "\n";
     }
   }
   if (decision.route < 0) {
@@ -218,8 +218,7 @@
     destination += (destination.empty() ? "pool " : ", pool ") + one.pool;
     if (route.targets.size() > 1) destination += " (" + std::to_string(int(one.share * 100 + 0.5)) + "%)";
   }
-  if (route.answer.status)
-  {
+  if (route.answer.status) {
     destination = "an answer of " + std::to_string(route.answer.status);
     out["answer"] = route.answer.status;
   } else {
--- a/src/cli/fleet.cpp
+++ b/src/cli/fleet.cpp
@@ -29,18 +29,19 @@
   Ref<GSocketClient> client(g_socket_client_new());
   g_socket_client_set_timeout(client.get(), kRequestTimeoutSeconds);
   GError* raw = nullptr;
-  Ref<GSocketConnection> connection(g_socket_client_connect_to_host(client.get(), admin.c_str(), 0, nullptr, &raw));
+  Ref<GSocketConnection> connection(
+      g_socket_client_connect_to_host(client.get(), admin.c_str(), 0, nullptr, &raw));
   Error error(raw);
   if (!connection) return std::nullopt;
   std::string request = "GET " + path + " HTTP/1.1\r\nHost: " + admin + "\r\nConnection: close\r\n\r\n";
   std::string response;
   GIOStream* stream = G_IO_STREAM(connection.get());
-  if (!g_output_stream_write_all(g_io_stream_get_output_stream(stream), request.data(), request.size(), nullptr,
-                                 nullptr, nullptr))
+  if (!g_output_stream_write_all(g_io_stream_get_output_stream(stream), request.data(), request.size(),
+                                 nullptr, nullptr, nullptr))
     return std::nullopt;
   char bytes[4096];
   for (gssize count; (count = g_input_stream_read(g_io_stream_get_input_stream(stream), bytes, sizeof bytes,
-                                              nullptr, nullptr)) > 0;) {
+                                                  nullptr, nullptr)) > 0;) {
     response.append(bytes, std::size_t(count));
     if (response.size() > kMaxResponseBytes) return std::nullopt;
   }
@@ -78,7 +79,8 @@
 }
 
 int report_no_fleet(const std::string& admin) {
-  std::cerr << "puffinvane: no fleet at " << admin << ": no response, or the process is not part of a fleet\n";
+  std::cerr << "puffinvane: no fleet at " << admin
+            << ": no response, or the process is not part of a fleet\n";
   return 2;
 }
 
@@ -87,10 +89,10 @@
 int show_fleet(const std::string& admin, bool as_json) {
   std::optional<json> fleet;
   std::size_t agree = 0, differ = 0, silent = 0;
-  // Views are read one after the other, so an update on its way can make them differ, and a member may be slow once. They
-  // are read again until they agree or the timeout shows that the difference lasts.
+  // Views are read one after the other, so an update on its way can make them differ, and a member may be
+  // slow once. They are read again until they agree or the timeout shows that the difference lasts.
   const auto deadline = std::chrono::steady_clock::now() + kConvergenceTimeout;
-  for (bool again = false; !again || (differ + silent > 0 && std::chrono::steady_clock::now() < until);
+  for (bool again = false; !again || (differ + silent > 0 && std::chrono::steady_clock::now() < deadline);
        again = true) {
     if (again) std::this_thread::sleep_for(kRetryInterval);
     fleet = fetch_fleet(admin);
@@ -102,7 +104,9 @@
       std::string address = admin_address(member);
       std::optional<json> member_fleet = address.empty() ? std::nullopt : fetch_fleet(address);
       member["view"] = member_fleet ? field_text(*member_fleet, "view") : "";
-      ++(!member_fleet ? silent : field_text(*member_fleet, "view") == field_text(*fleet, "view") ? agree : differ);
+      ++(!member_fleet                                                     ? silent
+         : field_text(*member_fleet, "view") == field_text(*fleet, "view") ? agree
+                                                                           : differ);
     }
   }
   (*fleet)["agree"] = agree;
@@ -114,8 +118,8 @@
     return code;
   }
   std::printf("%s: %s live, view %s: %zu hold it, %zu another, %zu could not be asked\n",
-              field_text(*fleet, "me").c_str(), field_text(*fleet, "live").c_str(), field_text(*fleet, "view").c_str(), agree,
-              differ, silent);
+              field_text(*fleet, "me").c_str(), field_text(*fleet, "live").c_str(),
+              field_text(*fleet, "view").c_str(), agree, differ, silent);
   if (auto part = fleet->find("part"); part != fleet->end() && part->is_object())
     std::printf("its part: %zu endpoints, as one of %s\n", part->value("endpoints", json::object()).size(),
                 field_text(*part, "sidecars").c_str());
@@ -123,14 +127,15 @@
               "ZONE", "FOR_S", "VIEW");
   for (const json& member : (*fleet)["members"]) {
     std::string view = field_text(member, "view");
-    std::string comparison = !is_live(member)                  ? ""
-                       : view.empty()                 ? "not asked"
-                       : view == field_text(*fleet, "view") ? "same"
-                                                      : view;
+    std::string comparison = !is_live(member)                     ? ""
+                             : view.empty()                       ? "not asked"
+                             : view == field_text(*fleet, "view") ? "same"
+                                                                  : view;
     std::printf("%-20s %-22s %-10s %-8s %5s %-8s %6.0f %s\n", field_text(member, "name").c_str(),
                 field_text(member, "address").c_str(), field_text(member, "belief").c_str(),
-                field_text(member, "phase").c_str(), field_text(member, "tier").c_str(), field_text(member, "zone").c_str(),
-                std::atof(field_text(member, "for_s").c_str()), comparison.c_str());
+                field_text(member, "phase").c_str(), field_text(member, "tier").c_str(),
+                field_text(member, "zone").c_str(), std::atof(field_text(member, "for_s").c_str()),
+                comparison.c_str());
   }
   return code;
 }
@@ -142,9 +147,10 @@
     if (!fleet) return report_no_fleet(admin);
     std::map<std::string, std::string> now;
     for (const json& member : (*fleet)["members"])
-      now[field_text(member, "name")] =
-          field_text(member, "belief") + ", " + field_text(member, "phase") + " at " + field_text(member, "address");
-    if (first) std::cout << field_text(*fleet, "me") << ": " << field_text(*fleet, "live") << " live" << std::endl;
+      now[field_text(member, "name")] = field_text(member, "belief") + ", " + field_text(member, "phase") +
+                                        " at " + field_text(member, "address");
+    if (first)
+      std::cout << field_text(*fleet, "me") << ": " << field_text(*fleet, "live") << " live" << std::endl;
     std::time_t seconds = std::time(nullptr);
     std::tm local{};
     char clock[16];
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -67,7 +67,7 @@
       kill_timeout_(kill_timeout),
       limiter_(loop, router_.site().limits.memory / kBufferShare),
       downstream_(loop, limiter_, *this, router_.site().limits.body) {
-  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
+  downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
 }
 
 void Server::start() {
@@ -121,7 +121,7 @@
     if (!drain_deadline_)
       close_listeners(next.site());  // while draining, all listeners are closed already or soon will be
     router_ = std::move(next);
-    downstream_.longest_wait(drain_limits().longest_client_timeout_s);
+    downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
     loop()
         .log()
         .event(Level::Info, "site.reloaded")
@@ -341,8 +341,9 @@
 
 void Server::on_request(DownstreamConnection& downstream, HttpMessage request) {
   if (request.method == "CONNECT")
-    return downstream.answer(405, nullptr, "", "CONNECT is not served\n", true);
-  if (request.count("Host") > 1) return downstream.answer(400, nullptr, "", "one Host, not two\n", true);
+    return downstream.respond(405, nullptr, "", "CONNECT is not served\n", true);
+  if (request.header_count("Host") > 1)
+    return downstream.respond(400, nullptr, "", "one Host, not two\n", true);
   fields_.clear();
   for (const Header& header : request.headers) fields_.push_back({header.name, header.value});
   routing::RequestHead head{listener_name(downstream.listener()), request.method, request.header("Host"),
@@ -351,17 +352,17 @@
   using Kind = routing::Decision::Kind;
   switch (decision.kind) {
     case Kind::BadTarget:
-      return downstream.answer(400, nullptr, "", "a path with . or .. is not served\n", true);
+      return downstream.respond(400, nullptr, "", "a path with . or .. is not served\n", true);
     case Kind::NoRoute:
       if (request.target == "/healthz" && request.method == "GET")
-        return downstream.answer(drain_deadline_ ? 503 : 200, nullptr, "",
-                                 drain_deadline_ ? "leaving\n" : "ready\n", false);
-      return downstream.answer(404, nullptr, "", "no route leads there\n", false);
-    case Kind::Answer: {
+        return downstream.respond(drain_deadline_ ? 503 : 200, nullptr, "",
+                                  drain_deadline_ ? "leaving\n" : "ready\n", false);
+      return downstream.respond(404, nullptr, "", "no route leads there\n", false);
+    case Kind::FixedResponse: {
       const site::Answer& answer = router_.site().routes[std::size_t(decision.route)].answer;
       std::string headers = answer.location.empty() ? "" : "Location: " + answer.location + "\r\n";
-      return downstream.answer(answer.status, nullptr, headers, answer.text.empty() ? "" : answer.text + "\n",
-                               false);
+      return downstream.respond(answer.status, nullptr, headers,
+                                answer.text.empty() ? "" : answer.text + "\n", false);
     }
     case Kind::Forward: return forward(downstream, std::move(request), decision);
   }
@@ -372,14 +373,14 @@
   RequestForwarder& forwarder = *pools_by_index_[std::size_t(decision.pool)]->forwarder;
   const RequestClass& request_class =
       *forwarder.find_class(router_.site().request_classes[std::size_t(decision.request_class)].name);
-  int ids = request.count(kRequestIdHeader);
+  int ids = request.header_count(kRequestIdHeader);
   // Endpoints tell requests apart by their id, so a request without one gets one.
   if (ids == 0) request.headers.push_back({std::string(kRequestIdHeader), new_request_id()});
   std::string_view id = request.header(kRequestIdHeader);
   if (id.empty() || ids > 1 || forwarder.has_pending_request(id))
-    return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be new, if it is there\n", true);
-  std::optional<double> time_left = time_left_of(request, request_class.client_timeout_s);
-  if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
+    return downstream.respond(400, nullptr, "", "X-Correlation-Id has to be new, if it is there\n", true);
+  std::optional<double> time_left = remaining_deadline_of(request, request_class.client_timeout_s);
+  if (!time_left) return downstream.respond(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
   if (decision.target) request.target = *decision.target;
   forwarder.forward(downstream, std::move(request), request_class, *time_left);
 }
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -17,7 +17,7 @@
 
 namespace puffinvane::serving {
 
-class Server final : public Lifecycle, DownstreamConnections::Server {
+class Server final : public Lifecycle, DownstreamConnections::RequestHandler {
  public:
   // Reads the site again. Returns nothing if it can't be used and sets `why` to the reason.
   using Read = std::function<std::optional<site::Site>(std::string& why)>;
@@ -50,7 +50,7 @@
   DrainLimits drain_limits() const override;
   void on_draining(double deadline_s) override;
   void stop_listening() override;
-  void end_connections_after_response() override { downstream_.last_call(true); }
+  void end_connections_after_response() override { downstream_.close_after_responses(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
     return downstream_.empty() &&
@@ -86,7 +86,7 @@
   std::map<std::string, std::unique_ptr<RunningPool>> previous_pools_;  // only used within set_pools()
   std::vector<RunningPool*> pools_by_index_;                            // in the router's order
   std::vector<std::unique_ptr<RunningPool>> retired_;  // replaced pools with pending requests
-  std::vector<routing::Field> fields_;  // of the request being routed; reused to avoid allocations
+  std::vector<routing::HeaderField> fields_;  // of the request being routed; reused to avoid allocations
   LifetimeToken alive_;
 };
 
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -43,8 +43,8 @@
       limiter_(loop, config_.memory / kBufferShare),
       forwarder_(loop, limiter_, config_.deployment, config_.seed,
                  with_shadow_policy(config_.shadow, differences_, make),
-                 ForwarderOptions{false, HttpReader::kMostBody, "", true}),
-      downstream_(loop, limiter_, *this, HttpReader::kMostBody, 0, HttpReader::kMostStreamed),
+                 ForwarderOptions{false, HttpReader::kMaxBodyBytes, "", true}),
+      downstream_(loop, limiter_, *this, HttpReader::kMaxBodyBytes, 0, HttpReader::kMaxStreamedBodyBytes),
       listener_(loop, downstream_),
       watch_(loop, forwarder_, starts_,
              DiscoveryWatch::Options{.address = config_.discovery,
@@ -53,13 +53,13 @@
                                      .backoff_seed = config_.seed}),
       overrides_(*this),
       takeover_(std::move(takeover)) {
-  downstream_.longest_wait(drain_limits().longest_client_timeout_s);
+  downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
   if (config_.fleet)
     fleet_.emplace(loop, *config_.fleet, Loop::unix_offset(), config_.seed,
                    static_cast<fleet::Fleet::Owner&>(*this));
   if (config_.admin.empty()) return;
   has_predecessor_ = takeover_.predecessor != nullptr;
-  if (has_predecessor_) limiter_.share(true);
+  if (has_predecessor_) limiter_.share_limits(true);
   hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_path(config_.listen),
                        std::move(takeover_.predecessor));
   admin_.emplace(loop, limiter_, overrides_, static_cast<AdminApi::Owner&>(*this));
@@ -191,7 +191,7 @@
   // The successor has ended before it received all connections. Clients are told to connect again, and the
   // platform routes them to other instances.
   if (!has_successor()) {
-    downstream_.last_call(true);
+    downstream_.close_after_responses(true);
     downstream_.close_idle();
     return;
   }
@@ -241,22 +241,22 @@
 void Sidecar::on_request(DownstreamConnection& downstream, HttpMessage request) {
   if (request.target == "/healthz" && request.method == "GET") {
     bool accepts = (!draining_ || has_successor()) && !overrides_.is_draining() && has_current_list();
-    return downstream.answer(accepts ? 200 : 503, nullptr, "", accepts ? "ready\n" : "leaving\n", false);
+    return downstream.respond(accepts ? 200 : 503, nullptr, "", accepts ? "ready\n" : "leaving\n", false);
   }
   if (request.target == "/watch" && request.method == "GET" && config_.shadow)
-    return downstream.answer(200, nullptr, "", write_differences(differences_), false);
+    return downstream.respond(200, nullptr, "", write_differences(differences_), false);
   if (request.method == "HEAD" || request.method == "CONNECT")
-    return downstream.answer(405, nullptr, "Allow: GET, POST\r\n", "", true);
+    return downstream.respond(405, nullptr, "Allow: GET, POST\r\n", "", true);
   const RequestClass* request_class = forwarder_.find_class(request_class_of(request.target));
-  if (!request_class) return downstream.answer(404, nullptr, "", "no such path prefix\n", true);
+  if (!request_class) return downstream.respond(404, nullptr, "", "no such path prefix\n", true);
   std::string_view id = request.header(kRequestIdHeader);
-  std::optional<double> time_left = time_left_of(request, request_class->client_timeout_s);
+  std::optional<double> time_left = remaining_deadline_of(request, request_class->client_timeout_s);
   bool has_valid_id =
-      !id.empty() && request.count(kRequestIdHeader) == 1 && !forwarder_.has_pending_request(id);
+      !id.empty() && request.header_count(kRequestIdHeader) == 1 && !forwarder_.has_pending_request(id);
   if (!has_valid_id || !time_left) forwarder_.record_invalid_request(*request_class);
   if (!has_valid_id)
-    return downstream.answer(400, nullptr, "", "X-Correlation-Id has to be there, once and new\n", true);
-  if (!time_left) return downstream.answer(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
+    return downstream.respond(400, nullptr, "", "X-Correlation-Id has to be there, once and new\n", true);
+  if (!time_left) return downstream.respond(400, nullptr, "", "X-Time-Left is no number with m or u\n", true);
   forwarder_.forward(downstream, std::move(request), *request_class, *time_left);
 }
 
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -16,7 +16,7 @@
 namespace puffinvane {
 
 class Sidecar final : public Lifecycle,
-                      DownstreamConnections::Server,
+                      DownstreamConnections::RequestHandler,
                       OverrideController::Host,
                       AdminApi::Owner,
                       HotRestart::Owner,
@@ -38,7 +38,7 @@
   void stop_listening() override { has_successor() ? listener_.abandon() : listener_.close(); }
   bool has_successor() const override { return hot_restart_ && hot_restart_->has_successor(); }
   void hand_over_connections() override;
-  void end_connections_after_response() override { downstream_.last_call(true); }
+  void end_connections_after_response() override { downstream_.close_after_responses(true); }
   void close_idle_downstream() override { downstream_.close_idle(); }
   bool is_drained() const override {
     return downstream_.empty() && listener_.is_closed() &&
@@ -52,7 +52,7 @@
   }
   void exclude_endpoint(std::string_view endpoint) override;
   void include_endpoint(std::string_view endpoint, double excluded_since) override;
-  void set_last_responses(bool on) override { downstream_.last_call(on); }
+  void set_last_responses(bool on) override { downstream_.close_after_responses(on); }
   bool is_ready() const override { return serving_; }
   std::string metrics() const override;
   void on_override() override;
@@ -71,7 +71,9 @@
   void on_connection(Ref<GSocket> socket, ConnectionHistory history) override {
     downstream_.take_over(std::move(socket), history == ConnectionHistory::Used);
   }
-  void on_peer_presence(PeerPresence presence) override { limiter_.share(presence == PeerPresence::Present); }
+  void on_peer_presence(PeerPresence presence) override {
+    limiter_.share_limits(presence == PeerPresence::Present);
+  }
   // Carries out the steps of a drain that an operator ordered; repeats itself while the drain lasts.
   void update_drain();
   bool has_current_list() const;
