--- a/src/config/settings/deployment.cpp
+++ b/src/config/settings/deployment.cpp
@@ -38,7 +38,8 @@
   return found;
 }
 
-// Like `option`, but throws for a value of another type: using the default instead would hide a mistake in the settings.
+// Like `option`, but throws for a value of another type: using the default instead would hide a mistake in
+// the settings.
 template <typename T>
 T checked(element object, std::string_view key, T fallback, const char* expected) {
   element found;
@@ -49,7 +50,8 @@
 }
 double non_negative(element object, std::string_view key, double fallback) {
   double value = checked(object, key, fallback, "a number");
-  if (!std::isfinite(value) || value < 0) throw Malformed("setting '" + std::string(key) + "' is not a number of at least 0");
+  if (!std::isfinite(value) || value < 0)
+    throw Malformed("setting '" + std::string(key) + "' is not a number of at least 0");
   return value;
 }
 bool flag(element object, std::string_view key, bool fallback) {
@@ -69,8 +71,8 @@
   return word == "zone" ? IdempotencyScope::Zone : IdempotencyScope::Cell;
 }
 
-// Whether responses report how many requests an endpoint serves; its queue length alone does not show how loaded the fleet
-// is.
+// Whether responses report how many requests an endpoint serves; its queue length alone does not show how
+// loaded the fleet is.
 bool reports_served_requests(element report) {
   simdjson::dom::array fields;
   if (report["Fields"].get(fields)) return true;
@@ -112,7 +114,8 @@
   deployment.connect_timeout_s = option(limits, "ConnectTimeoutS", deployment.connect_timeout_s);
   deployment.idle_timeout_s = option(limits, "ConnIdleS", deployment.idle_timeout_s);
   deployment.max_retry_after_s = option(limits, "MaxRetryAfterS", 0.0);
-  if (element fees; !options["Fees"].get(fees)) deployment.cross_zone_price = non_negative(fees, "CrossZone", 0.0);
+  if (element fees; !options["Fees"].get(fees))
+    deployment.cross_zone_price = non_negative(fees, "CrossZone", 0.0);
   if (element extra; !options["Extra"].get(extra))
     deployment.has_key_affinity = flag(extra, "WarmKeys", false);
   deployment.zone = option<std::string>(options, "Zone", "");
@@ -138,7 +141,8 @@
   if (element tiers; !options["Tiers"].get(tiers)) {
     std::size_t count = items(options, "Tiers").size();
     if (deployment.tier < 0 || std::size_t(deployment.tier) >= count)
-      throw Malformed("setting 'Layer' is " + std::to_string(deployment.tier) + ", not an index into 'Tiers'");
+      throw Malformed("setting 'Layer' is " + std::to_string(deployment.tier) +
+                      ", not an index into 'Tiers'");
     deployment.last_tier = std::size_t(deployment.tier) + 1 == count;
   }
   deployment.round_trip_s = option(options, "RoundS", 0.0);
--- a/src/config/settings/deployment.h
+++ b/src/config/settings/deployment.h
@@ -1,5 +1,5 @@
-// Reads the settings of a deployment from JSON, once at the start. The simulator's instances get the same object in their
-// first message, the real sidecar in its configuration file.
+// Reads the settings of a deployment from JSON, once at the start. The simulator's instances get the same
+// object in their first message, the real sidecar in its configuration file.
 #pragma once
 
 #include <simdjson.h>
--- a/src/net/tcp_connection.cpp
+++ b/src/net/tcp_connection.cpp
@@ -263,8 +263,9 @@
   close();
 }
 
-// Discards unread input only if sent bytes are not delivered yet: otherwise the reset tells the peer that its
-// input was not processed, so that it can send it elsewhere.
+// Discards unread input if sent bytes are not delivered yet. If all are delivered, the input is left unread,
+// so that closing resets the connection: the peer then knows that its input was not processed and can send it
+// elsewhere.
 void TcpConnection::discard_unread() {
   constexpr int kMaxReads = 64;
   int undelivered_bytes = 0;
--- a/src/server/lifecycle.cpp
+++ b/src/server/lifecycle.cpp
@@ -21,7 +21,8 @@
 
 }  // namespace
 
-// A reload is heeded in every phase: while starting, the listener may be another process's for some seconds.
+// A reload is handled in every phase until the stop: the start may take some seconds, while another process
+// still uses the address of the listener.
 const Transition<Lifecycle, Lifecycle::Phase, Lifecycle::Event> Lifecycle::kTransitions[] = {
     {Phase::Starting, Event::ListenersOpened, Phase::Serving, &Lifecycle::begin_serving},
     {Phase::Starting, Event::ReloadRequested, Phase::Starting, &Lifecycle::reload},
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -1,5 +1,5 @@
-// The phases of a process that serves, from start to exit, and the one table that moves between them. What is
-// served, and how connections are drained, is the subclass's.
+// The phases of a serving process, from start to exit, and the table of transitions between them. A subclass
+// defines what is served and how connections are drained.
 #pragma once
 
 #include <string>
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -12,19 +12,19 @@
 namespace puffinvane::serving {
 
 namespace {
-constexpr std::size_t kBufferShare =
-    2;  // 1/2 of the memory limit; the rest is for the policies, GLib and the heap
-constexpr double kFinishedPoolCheckInterval = 0.1;
+// Buffers may use the memory limit divided by this; the rest is for the policies, GLib and the heap.
+constexpr std::size_t kBufferMemoryDivisor = 2;
+constexpr double kFinishedPoolCheckInterval = 0.1;  // seconds
 // A listener that can't be opened for lack of descriptors is retried at this interval for five seconds; the
 // process has to be ready within ten.
 constexpr double kOpenRetryInterval = 0.05;
 constexpr int kMaxOpenTries = 100;
 
-std::shared_ptr<const site::Site> shared(site::Site site) {
+std::shared_ptr<const site::Site> make_shared_site(site::Site site) {
   return std::make_shared<const site::Site>(std::move(site));
 }
 
-EndpointList list_of(const site::Pool& pool, const std::map<std::string, double>& since) {
+EndpointList static_list(const site::Pool& pool, const std::map<std::string, double>& since) {
   EndpointList list;
   list.is_snapshot = true;
   for (const site::Endpoint& one : pool.endpoints) {
@@ -62,10 +62,10 @@
       read_(std::move(read)),
       make_(make),
       random_(seed),
-      router_(shared(std::move(site))),
+      router_(make_shared_site(std::move(site))),
       version_(site::version(router_.site())),
       kill_timeout_(kill_timeout),
-      limiter_(loop, router_.site().limits.memory / kBufferShare),
+      limiter_(loop, router_.site().limits.memory / kBufferMemoryDivisor),
       downstream_(loop, limiter_, *this, router_.site().limits.body) {
   downstream_.set_longest_client_timeout(drain_limits().longest_client_timeout_s);
 }
@@ -113,7 +113,7 @@
         read->limits.memory != router_.site().limits.memory ||
         read->limits.body != router_.site().limits.body)
       throw std::runtime_error("the limits on descriptors, memory and body can only change with a restart");
-    routing::Router next(shared(std::move(*read)));
+    routing::Router next(make_shared_site(std::move(*read)));
     if (!drain_deadline_) open_listeners(next.site());  // the only step that can fail for external reasons
     std::string before = std::exchange(version_, site::version(next.site()));
     std::size_t changes = site::differences(router_.site(), next.site()).size();
@@ -231,7 +231,7 @@
                                                                    : 0;
     }
     running.since = std::move(since);
-    running.forwarder->on_endpoint_list(list_of(pool, running.since));
+    running.forwarder->on_endpoint_list(static_list(pool, running.since));
     return;
   }
   running.since.clear();
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -22,15 +22,15 @@
 constexpr double kListenRetryInterval = 0.02;
 // Seconds. The first request on a connection younger than this may be on its way.
 constexpr double kMinIdleAge = 0.2;
-constexpr std::size_t kBufferShare =
-    2;  // 1/2 of the memory limit; the rest is for the policy, GLib and the heap
+// Buffers may use the memory limit divided by this; the rest is for the policy, GLib and the heap.
+constexpr std::size_t kBufferMemoryDivisor = 2;
 
 // Wraps the policies that `make` creates in a shadow policy, if there are settings for one.
-PolicyFactory with_shadow_policy(const std::optional<Deployment>& shadow, Differences& counted,
+PolicyFactory with_shadow_policy(const std::optional<Deployment>& shadow, Differences& differences,
                                  PolicyFactory make) {
   if (!shadow) return make;
-  return [&shadow, &counted, make](double now, Deployment acting, std::uint64_t seed, Host& host) {
-    return std::make_unique<ShadowPolicy>(now, std::move(acting), *shadow, seed, host, counted, make);
+  return [&shadow, &differences, make](double now, Deployment acting, std::uint64_t seed, Host& host) {
+    return std::make_unique<ShadowPolicy>(now, std::move(acting), *shadow, seed, host, differences, make);
   };
 }
 }  // namespace
@@ -40,7 +40,7 @@
     : Lifecycle(loop),
       config_(std::move(config)),
       config_path_(std::move(config_path)),
-      limiter_(loop, config_.memory / kBufferShare),
+      limiter_(loop, config_.memory / kBufferMemoryDivisor),
       forwarder_(loop, limiter_, config_.deployment, config_.seed,
                  with_shadow_policy(config_.shadow, differences_, make),
                  ForwarderOptions{false, HttpReader::kMaxBodyBytes, "", true}),
@@ -195,8 +195,8 @@
     downstream_.close_idle();
     return;
   }
-  downstream_.hand_over([this](GSocket* connection, bool asked) {
-    const ConnectionHistory history = asked ? ConnectionHistory::Used : ConnectionHistory::Unused;
+  downstream_.hand_over([this](GSocket* connection, bool was_used) {
+    const ConnectionHistory history = was_used ? ConnectionHistory::Used : ConnectionHistory::Unused;
     return hot_restart_->try_send_connection(connection, history);
   });
 }
