--- a/src/admin/shadow_policy.h
+++ b/src/admin/shadow_policy.h
@@ -55,12 +55,14 @@
     double sent = 0;
     bool pending = false;
   };
+  // The decisions of both sides on one request.
   struct Compared {
     std::array<std::vector<Attempt>, kSides> attempts;
     std::array<int, kSides> hedges{};
     std::array<bool, kSides> over_share{}, answered{};  // answered: rejected or failed by that side
     bool concluded = false;
   };
+  // A timer that one or both sides asked for.
   struct Timer {
     double due = 0;
     std::uint64_t token = 0;
@@ -74,12 +76,14 @@
   void record_answer(Side side, RequestId request);
   void record_cancellation(RequestId request, int number);
   void schedule_timer(Side side, double due, std::uint64_t token);
+  // Called after each event: applies the shadow policy's cancellations and finishes requests that are over.
   void process_changes(double now);
   void finish(double now, RequestId request);
   void count_differences(DecisionKind kind, std::uint64_t count) {
     differences_.by_kind[std::size_t(kind)] += count;
   }
   void end_shadow_attempt(double now, RequestId request, int number, const AttemptEnd* acting_end);
+  // Tells the shadow policy that the request has ended, unless it has ended it itself.
   void conclude(double now, RequestId request);
 
   Host& host_;
--- a/src/server/lifecycle.h
+++ b/src/server/lifecycle.h
@@ -46,10 +46,11 @@
   const Log& log() const { return loop_.log(); }
 
   virtual void on_serving() = 0;
-  // Settings that can't be used change nothing.
+  // Reads the settings again. Keeps the previous settings if the new ones can't be used.
   virtual void reload_settings() = 0;
   virtual DrainLimits drain_limits() const = 0;
-  // No request, also of those accepted already, has time beyond the deadline, on the loop's clock.
+  // The drain begins. No request, including those accepted already, may run beyond the deadline (on the
+  // loop's clock).
   virtual void on_draining(double deadline_s) = 0;
   virtual void stop_listening() = 0;
   // From here on each response is the last on its downstream connection.
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -60,11 +60,13 @@
   void on_request(DownstreamConnection& downstream, HttpMessage request) override;
 
   void forward(DownstreamConnection& downstream, HttpMessage request, const routing::Decision& decision);
-  void open_listeners(const site::Site& site);  // strong exception guarantee
+  void open_listeners(const site::Site& site);  // throws; nothing has changed then
   void close_listeners(const site::Site& site);
+  // Starts new pools, keeps unchanged ones, and retires the others.
   void set_pools(const site::Site& site);
   void set_endpoints(RunningPool& running, const site::Pool& pool, bool was_running);
   void inherit_learned_state(const std::vector<RunningPool*>& added);
+  // Lets the pending requests of a replaced pool end; its idle connections pass to the pools that replace it.
   void retire(std::unique_ptr<RunningPool> running, const std::vector<RunningPool*>& added);
   void delete_finished_pools();
   std::string_view listener_name(int id) const;
