--- a/tools/simulator_adapter/codec.cpp
+++ b/tools/simulator_adapter/codec.cpp
@@ -4,92 +4,93 @@
 #include <charconv>
 #include <cmath>
 
-namespace puffinvane::wire {
+namespace puffinvane::simulator_adapter {
 
 using simdjson::dom::element;
 
-Message::Message(element line) {
+EventMessage::EventMessage(element event) {
   simdjson::dom::array values;
-  if (line.get(values)) throw Malformed("an event is not an array");
+  if (event.get(values)) throw Malformed("an event is not a JSON array");
   for (element value : values) values_.push_back(value);
-  if (values_.empty() || values_[0].get(name_)) throw Malformed("an event has no name");
+  if (values_.empty() || values_[0].get(name_))
+    throw Malformed("the first element of an event is not its name");
 }
 
-void Message::lacks(const char* what) const {
-  throw Malformed("event " + std::string(name_) + " has no proper " + what);
+void EventMessage::throw_invalid_field(const char* field) const {
+  throw Malformed("event " + std::string(name_) + ": field " + field + " is missing or has the wrong type");
 }
 
-element Message::at(std::size_t place, const char* what) const {
-  if (place >= values_.size() || values_[place].is_null()) lacks(what);
-  return values_[place];
+element EventMessage::at(std::size_t index, const char* field) const {
+  if (index >= values_.size() || values_[index].is_null()) throw_invalid_field(field);
+  return values_[index];
 }
 
-Load Message::load(std::size_t place) const {
+Load EventMessage::load_report(std::size_t index) const {
   Load load;
   simdjson::dom::object report;
-  if (place >= values_.size() || values_[place].get(report)) return load;
-  for (std::string_view field : {"busy_reqs", "pending"}) {
-    if (load.depth < 0 && report[field].get(load.depth)) load.depth = -1;
+  if (index >= values_.size() || values_[index].get(report)) return load;
+  for (std::string_view key : {"busy_reqs", "pending"}) {
+    if (load.depth < 0 && report[key].get(load.depth)) load.depth = -1;
   }
   if (report["served_ps"].get(load.requests_per_s)) load.requests_per_s = -1;
   if (report["cpu_share"].get(load.cpu_utilization)) load.cpu_utilization = -1;
   return load;
 }
 
-std::int64_t Message::whole(std::size_t place, const char* what) const {
+std::int64_t EventMessage::integer(std::size_t index, const char* field) const {
   std::int64_t value;
-  if (at(place, what).get(value)) lacks(what);
+  if (at(index, field).get(value)) throw_invalid_field(field);
   return value;
 }
 
-std::uint64_t Message::natural(std::size_t place, const char* what) const {
+std::uint64_t EventMessage::unsigned_integer(std::size_t index, const char* field) const {
   std::uint64_t value;
-  if (at(place, what).get(value)) lacks(what);
+  if (at(index, field).get(value)) throw_invalid_field(field);
   return value;
 }
 
-double Message::number(std::size_t place, const char* what) const {
+double EventMessage::number(std::size_t index, const char* field) const {
   double value;
-  if (at(place, what).get(value)) lacks(what);
+  if (at(index, field).get(value)) throw_invalid_field(field);
   return value;
 }
 
-bool Message::flag(std::size_t place, const char* what) const {
+bool EventMessage::boolean(std::size_t index, const char* field) const {
   bool value;
-  if (at(place, what).get(value)) lacks(what);
+  if (at(index, field).get(value)) throw_invalid_field(field);
   return value;
 }
 
-std::string_view Message::text(std::size_t place, const char* what) const {
+std::string_view EventMessage::string(std::size_t index, const char* field) const {
   std::string_view value;
-  if (at(place, what).get(value)) lacks(what);
+  if (at(index, field).get(value)) throw_invalid_field(field);
   return value;
 }
 
-std::string_view Message::text_or_none(std::size_t place) const {
+std::string_view EventMessage::optional_string(std::size_t index) const {
   std::string_view value;
-  if (place >= values_.size() || values_[place].get(value)) return {};
+  if (index >= values_.size() || values_[index].get(value)) return {};
   return value;
 }
 
-double Message::number_or_none(std::size_t place) const {
+double EventMessage::optional_number(std::size_t index) const {
   double value;
-  return place >= values_.size() || values_[place].get(value) ? 0 : value;
+  return index >= values_.size() || values_[index].get(value) ? 0 : value;
 }
 
-std::vector<ListEntry> read_entries(element entries) {
+std::vector<ListEntry> parse_list_entries(element entries) {
   simdjson::dom::array rows;
-  if (entries.get(rows)) throw Malformed("event CATALOG has no proper Entries");
+  if (entries.get(rows)) throw Malformed("event CATALOG: Entries is not an array");
   std::vector<ListEntry> list;
   for (element row : rows) {
     simdjson::dom::array fields;
-    if (row.get(fields)) throw Malformed("a list entry is not an array");
+    if (row.get(fields)) throw Malformed("event CATALOG: a list entry is not an array");
     std::vector<element> values(fields.begin(), fields.end());
     ListEntry entry;
     std::string_view endpoint, zone;
     std::int64_t state;
     if (values.size() < 5 || values[0].get(endpoint) || values[4].get(state)) {
-      throw Malformed("a list entry has no proper Endpoint or State");
+      throw Malformed("event CATALOG: a list entry has no valid Endpoint or State");
     }
     entry.endpoint = endpoint;
     if (!values[1].get(zone)) entry.zone = zone;
@@ -102,8 +103,8 @@
   return list;
 }
 
-Outcome read_outcome(std::int64_t result) {
-  switch (result) {
+Outcome outcome_from_code(std::int64_t code) {
+  switch (code) {
     case 100: return Outcome::Delivered;
     case 302: return Outcome::Refused;
     case 303: return Outcome::TimedOut;
@@ -115,7 +116,7 @@
   }
 }
 
-void write_text(std::string& out, std::string_view text) {
+void write_json_string(std::string& out, std::string_view text) {
   static constexpr char kHex[] = "0123456789abcdef";
   out += '"';
   for (char c : text) {
@@ -140,9 +141,9 @@
   out.append(buffer, end);
 }
 
-void write_whole(std::string& out, std::uint64_t value) {
+void write_unsigned_integer(std::string& out, std::uint64_t value) {
   char buffer[24];
   out.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, value).ptr);
 }
 
-}  // namespace puffinvane::wire
+}  // namespace puffinvane::simulator_adapter
--- a/tools/simulator_adapter/main.cpp
+++ b/tools/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
-// Hosts many instances of the decision module on the bench's wire: a line of events in, a line of actions
-// out. The instances share nothing but this loop.
+// Connects the policy to the simulator: reads one batch of events per line from standard input and writes the
+// resulting actions as one line to standard output. Runs many independent policy instances, one for each
+// simulated sidecar.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -10,12 +11,14 @@
 
 #include "tools/simulator_adapter/codec.h"
 
-namespace puffinvane::wire {
+namespace puffinvane::simulator_adapter {
 namespace {
 
+// Runs one policy and appends the actions that it requests to the reply's outbox, tagged with the instance's
+// number.
 class Instance final : public Host {
  public:
-  Instance(std::uint64_t number, std::string& out) : number_(number), out_(out) {}
+  Instance(std::uint64_t sidecar, std::string& out) : sidecar_(sidecar), out_(out) {}
 
   void start(double now, Deployment deployment, std::uint64_t seed) {
     policy_ = make_policy(now, std::move(deployment), seed, *this);
@@ -23,155 +26,203 @@
   Policy& policy() { return *policy_; }
 
   void start_attempt(RequestId request, std::string_view endpoint, double attempt_deadline) override {
-    open("CALL_OUT"), add(request), add(endpoint), add(attempt_deadline), close();
+    begin_action("CALL_OUT");
+    add_field(request);
+    add_field(endpoint);
+    add_field(attempt_deadline);
+    end_action();
   }
   void cancel_attempt(RequestId request, int number) override {
-    open("REVOKE"), add(request), add(static_cast<std::uint32_t>(number)), close();
+    begin_action("REVOKE");
+    add_field(request);
+    add_field(static_cast<std::uint32_t>(number));
+    end_action();
   }
-  void reject_request(RequestId request, double wait) override {
-    open("DENY"), add(request), add(wait), close();
+  void reject_request(RequestId request, double retry_after) override {
+    begin_action("DENY");
+    add_field(request);
+    add_field(retry_after);
+    end_action();
+  }
+  void fail_request(RequestId request) override {
+    begin_action("ERROR");
+    add_field(request);
+    end_action();
   }
-  void fail_request(RequestId request) override { open("ERROR"), add(request), close(); }
   void schedule_timer(double at, std::uint64_t token) override {
-    open("REMIND"), add(at), add(token), close();
+    begin_action("REMIND");
+    add_field(at);
+    add_field(token);
+    end_action();
+  }
+  void poll_endpoint_list() override {
+    begin_action("LISTEN");
+    out_ += ",true";
+    end_action();
+  }
+  void log(std::string_view text) override {
+    begin_action("EMIT");
+    add_field(text);
+    end_action();
+  }
+  // Reports an exception that the policy threw.
+  void report_policy_error(std::string_view text) {
+    begin_action("BUG");
+    add_field(text);
+    end_action();
   }
-  void poll_endpoint_list() override { open("LISTEN"), out_ += ",true", close(); }
-  void log(std::string_view text) override { open("EMIT"), add(text), close(); }
-  void fault(std::string_view text) { open("BUG"), add(text), close(); }
 
  private:
-  void open(std::string_view name) {
+  void begin_action(std::string_view name) {
     if (out_.back() != '[') out_ += ',';
     out_ += "[\"";
     out_ += name;
     out_ += "\",";
-    write_whole(out_, number_);
+    write_unsigned_integer(out_, sidecar_);
+  }
+  void add_field(std::uint64_t value) {
+    out_ += ',';
+    write_unsigned_integer(out_, value);
+  }
+  void add_field(std::uint32_t value) {
+    out_ += ',';
+    write_unsigned_integer(out_, value);
+  }
+  void add_field(double value) {
+    out_ += ',';
+    write_number(out_, value);
+  }
+  void add_field(std::string_view value) {
+    out_ += ',';
+    write_json_string(out_, value);
   }
-  void add(std::uint64_t value) { out_ += ',', write_whole(out_, value); }
-  void add(std::uint32_t value) { out_ += ',', write_whole(out_, value); }
-  void add(double value) { out_ += ',', write_number(out_, value); }
-  void add(std::string_view value) { out_ += ',', write_text(out_, value); }
-  void add(const char* value) { add(std::string_view(value)); }
-  void close() { out_ += ']'; }
+  void add_field(const char* value) { add_field(std::string_view(value)); }
+  void end_action() { out_ += ']'; }
 
-  std::uint64_t number_;
+  std::uint64_t sidecar_;
   std::string& out_;
   std::unique_ptr<Policy> policy_;
 };
 
-class Loop {
+// Dispatches event batches to the instances and writes one reply for each batch.
+class BatchProcessor {
  public:
-  void answer(simdjson::dom::element line) {
+  void process(simdjson::dom::element batch) {
     out_ = "{\"outbox\":[";
     simdjson::dom::array events;
-    if (line["TimeS"].get(now_)) throw Malformed("the batch has no TimeS");
-    if (line["events"].get(events)) throw Malformed("the batch has no events");
-    for (simdjson::dom::element event : events) take(Message(event));
+    if (batch["TimeS"].get(now_)) throw Malformed("the batch: TimeS is missing or not a number");
+    if (batch["events"].get(events)) throw Malformed("the batch: events is missing or not an array");
+    for (simdjson::dom::element event : events) handle_event(EventMessage(event));
     out_ += "]}\n";
     std::fwrite(out_.data(), 1, out_.size(), stdout);
     std::fflush(stdout);
   }
 
  private:
-  // What an event asks of an instance is read in full before the instance is called, so that a fault of the
-  // line stops the adapter and a fault of the instance stays the instance's.
+  // Calls the policy of the event's sidecar; an event for a sidecar that does not run is ignored. Callers
+  // parse the whole event first: invalid input has to stop the adapter, while an exception of a policy is
+  // only reported.
   template <typename Call>
-  void pass(const Message& event, Call call) {
-    auto found = instances_.find(event.natural(1, "Sidecar"));
-    if (found != instances_.end()) guard(*found->second, [&] { call(found->second->policy()); });
+  void call_policy(const EventMessage& event, Call call) {
+    auto found = instances_.find(event.unsigned_integer(1, "Sidecar"));
+    if (found != instances_.end()) report_exceptions(*found->second, [&] { call(found->second->policy()); });
   }
 
   template <typename Call>
-  void guard(Instance& instance, Call call) {
+  void report_exceptions(Instance& instance, Call call) {
     try {
       call();
-    } catch (const std::exception& fault) {
-      instance.fault(fault.what());
+    } catch (const std::exception& error) {
+      instance.report_policy_error(error.what());
     }
   }
 
-  void take(const Message& event) {
+  void handle_event(const EventMessage& event) {
     std::string_view name = event.name();
     if (name == "ORDER") {
-      Request request{request_id(event),          event.text(3, "Profile"), event.text_or_none(4),
-                      event.number(6, "BudgetS"), event.text_or_none(5),    event.number_or_none(7)};
-      pass(event, [&](Policy& policy) { policy.on_request(now_, request); });
+      Request request{request_id(event),          event.string(3, "Profile"), event.optional_string(4),
+                      event.number(6, "BudgetS"), event.optional_string(5),   event.optional_number(7)};
+      call_policy(event, [&](Policy& policy) { policy.on_request(now_, request); });
     } else if (name == "ATTEMPT_END") {
       AttemptEnd end{request_id(event),
-                     static_cast<int>(event.whole(5, "N")),
-                     read_outcome(event.whole(6, "Result")),
-                     event.flag(3, "Finished"),
+                     static_cast<int>(event.integer(5, "N")),
+                     outcome_from_code(event.integer(6, "Result")),
+                     event.boolean(3, "Finished"),
                      event.number(4, "CostTimeS"),
-                     event.load(8)};
-      event.text(7, "Endpoint");
-      pass(event, [&](Policy& policy) { policy.on_attempt_ended(now_, end); });
+                     event.load_report(8)};
+      event.string(7, "Endpoint");
+      call_policy(event, [&](Policy& policy) { policy.on_attempt_ended(now_, end); });
     } else if (name == "TICK_DUE") {
-      std::uint64_t token = event.natural(2, "Name");
-      pass(event, [&](Policy& policy) { policy.on_timer(now_, token); });
+      std::uint64_t token = event.unsigned_integer(2, "Name");
+      call_policy(event, [&](Policy& policy) { policy.on_timer(now_, token); });
     } else if (name == "WITHDRAWN") {
       RequestId request = request_id(event);
-      pass(event, [&](Policy& policy) { policy.on_request_cancelled(now_, request); });
+      call_policy(event, [&](Policy& policy) { policy.on_request_cancelled(now_, request); });
     } else if (name == "CATALOG") {
-      lists_[event.natural(1, "Buffer")] = read_entries(event.at(2, "Entries"));
+      lists_[event.unsigned_integer(1, "Buffer")] = parse_list_entries(event.at(2, "Entries"));
     } else if (name == "REGISTRY") {
-      take_list(event);
+      handle_endpoint_list(event);
     } else if (name == "POWER_ON") {
-      std::uint64_t number = event.natural(1, "Sidecar"), seed = event.natural(2, "Nonce64");
+      std::uint64_t sidecar = event.unsigned_integer(1, "Sidecar");
+      std::uint64_t seed = event.unsigned_integer(2, "Nonce64");
       Deployment deployment = read_deployment(event.at(3, "Options"));
-      auto instance = std::make_unique<Instance>(number, out_);
-      instances_.erase(number);
-      guard(*instance, [&] {
+      auto instance = std::make_unique<Instance>(sidecar, out_);
+      instances_.erase(sidecar);
+      report_exceptions(*instance, [&] {
         instance->start(now_, std::move(deployment), seed);
-        instances_[number] = std::move(instance);
+        instances_[sidecar] = std::move(instance);
       });
     } else if (name == "CRASH_NOW") {
-      instances_.erase(event.natural(1, "Sidecar"));
+      instances_.erase(event.unsigned_integer(1, "Sidecar"));
     }
   }
 
-  void take_list(const Message& event) {
+  void handle_endpoint_list(const EventMessage& event) {
     static constexpr ListScope kScopes[] = {ListScope::Changes, ListScope::Cached, ListScope::Full,
                                             ListScope::Failed};
-    std::uint64_t scope = event.natural(2, "Scope");
-    if (scope >= std::size(kScopes)) throw Malformed("event REGISTRY has no known Scope");
-    std::vector<ListEntry> none;
-    const std::vector<ListEntry>* entries = &none;
+    std::uint64_t scope = event.unsigned_integer(2, "Scope");
+    if (scope >= std::size(kScopes))
+      throw Malformed("event REGISTRY: Scope " + std::to_string(scope) + " is unknown");
+    std::vector<ListEntry> no_entries;
+    const std::vector<ListEntry>* entries = &no_entries;
     if (kScopes[scope] != ListScope::Failed) {
-      auto found = lists_.find(event.natural(4, "Buffer"));
-      if (found == lists_.end()) throw Malformed("event REGISTRY names a Buffer that no CATALOG filled");
+      auto found = lists_.find(event.unsigned_integer(4, "Buffer"));
+      if (found == lists_.end()) throw Malformed("event REGISTRY: no CATALOG event filled the Buffer");
       entries = &found->second;
     }
-    pass(event, [&](Policy& policy) { policy.on_endpoint_list(now_, kScopes[scope], *entries); });
+    call_policy(event, [&](Policy& policy) { policy.on_endpoint_list(now_, kScopes[scope], *entries); });
   }
 
-  static RequestId request_id(const Message& event) {
-    std::uint64_t id = event.natural(2, "MsgId");
-    if (id > UINT32_MAX) throw Malformed("a MsgId is out of range");
+  static RequestId request_id(const EventMessage& event) {
+    std::uint64_t id = event.unsigned_integer(2, "MsgId");
+    if (id > UINT32_MAX)
+      throw Malformed("event " + std::string(event.name()) + ": MsgId " + std::to_string(id) +
+                      " exceeds 32 bits");
     return static_cast<RequestId>(id);
   }
 
   double now_ = 0;
   std::string out_;
-  std::map<std::uint64_t, std::vector<ListEntry>> lists_;
-  std::map<std::uint64_t, std::unique_ptr<Instance>> instances_;
+  std::map<std::uint64_t, std::vector<ListEntry>> lists_;         // by the Buffer that CATALOG named
+  std::map<std::uint64_t, std::unique_ptr<Instance>> instances_;  // by Sidecar
 };
 
 int run() {
   std::ios::sync_with_stdio(false);
   simdjson::dom::parser parser;
-  Loop loop;
+  BatchProcessor processor;
   std::string line;
-  for (std::uint64_t number = 1; std::getline(std::cin, line); ++number) {
+  for (std::uint64_t line_number = 1; std::getline(std::cin, line); ++line_number) {
     if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
     simdjson::dom::element parsed;
-    if (auto fault = parser.parse(line).get(parsed)) {
-      std::cerr << "line " << number << " is not JSON: " << simdjson::error_message(fault) << std::endl;
+    if (auto error = parser.parse(line).get(parsed)) {
+      std::cerr << "line " << line_number << " is not JSON: " << simdjson::error_message(error) << std::endl;
       return 1;
     }
     try {
-      loop.answer(parsed);
-    } catch (const Malformed& fault) {
-      std::cerr << "line " << number << ": " << fault.what() << std::endl;
+      processor.process(parsed);
+    } catch (const Malformed& error) {
+      std::cerr << "line " << line_number << ": " << error.what() << std::endl;
       return 1;
     }
   }
@@ -179,6 +230,6 @@
 }
 
 }  // namespace
-}  // namespace puffinvane::wire
+}  // namespace puffinvane::simulator_adapter
 
-int main() { return puffinvane::wire::run(); }
+int main() { return puffinvane::simulator_adapter::run(); }
