--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -100,7 +100,7 @@
 
 ListResult parse_endpoint_list(std::string_view text) { return ListParser().parse(text); }
 
-EndpointList read_endpoint_list(element json) {
+EndpointList parse_endpoint_list_or_throw(element json) {
   ListResult result = parse_endpoint_list(json);
   if (!result) throw Malformed(describe(result.error()));
   EndpointList list = std::move(result.value());
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -23,7 +23,7 @@
 struct EndpointList {
   std::int64_t index = 0;  // grows with each change that discovery makes
   bool is_snapshot = false;
-  std::vector<ListEntry> entries;       // online_since_s is set by EndpointStarts
+  std::vector<ListEntry> entries;       // online_since_s is set by EndpointStartTimes
   std::vector<std::string> addresses;   // one for each entry
   std::vector<double> stated_start_ms;  // one for each entry, Unix time; 0: long ago, or not stated
   double received_at_s = 0;             // monotonic; 0: not known
@@ -59,7 +59,7 @@
 ListResult parse_endpoint_list(std::string_view text);
 
 // The same for readers of settings: throws Malformed with describe() of the error.
-EndpointList read_endpoint_list(simdjson::dom::element json);
+EndpointList parse_endpoint_list_or_throw(simdjson::dom::element json);
 
 // Unix time in seconds of an HTTP date ("Tue, 14 Nov 2023 22:13:20 GMT"); none if `date` is not one.
 std::optional<double> parse_http_date(std::string_view date);
--- a/src/discovery/discovery_test.cpp
+++ b/src/discovery/discovery_test.cpp
@@ -100,7 +100,7 @@
   simdjson::dom::element list = parser.parse(std::string(R"({"index":1})"));
 
   try {
-    read_endpoint_list(list);
+    parse_endpoint_list_or_throw(list);
     FAIL() << "no exception";
   } catch (const Malformed& error) {
     EXPECT_STREQ(error.what(), "a list has no endpoints");
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -41,7 +41,7 @@
         {State::Watching, Event::ListRejected, State::BackingOff, &DiscoveryWatch::back_off_and_resync},
 };
 
-DiscoveryWatch::DiscoveryWatch(Loop& loop, Owner& owner, EndpointStarts& starts, const Options& options)
+DiscoveryWatch::DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& starts, const Options& options)
     : loop_(loop),
       owner_(owner),
       starts_(starts),
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,6 +1,6 @@
 // The standing watch on the discovery service: opens calls, times them out and reports lists to its owner.
 // What a line means is ListCursor's, how long a call may take CallTimeouts', how long to wait before the next
-// CallBackoff's, start times EndpointStarts'.
+// CallBackoff's, start times EndpointStartTimes'.
 #pragma once
 
 #include <cstdint>
@@ -43,7 +43,7 @@
   };
 
   // starts: of the endpoints that this discovery lists. Loop, owner and starts outlive the watch.
-  DiscoveryWatch(Loop& loop, Owner& owner, EndpointStarts& starts, const Options& options);
+  DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& starts, const Options& options);
 
   // Opens the first call. Called once.
   void start();
@@ -103,7 +103,7 @@
 
   Loop& loop_;
   Owner& owner_;
-  EndpointStarts& starts_;
+  EndpointStartTimes& starts_;
   std::string address_;
   const DiscoveryMode mode_;
   ListCursor cursor_;
--- a/src/discovery/endpoint_starts.cpp
+++ b/src/discovery/endpoint_starts.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-void EndpointStarts::on_list(EndpointList& list, const ClockOffsets& offsets) {
+void EndpointStartTimes::on_list(EndpointList& list, const ClockOffsets& offsets) {
   double offset_s = offset_of_stamps(list, list.received_at_s, offsets);
   Bounds known_names;
   known_names.absent_until_s = last_message_at_s_.value_or(known_names.absent_until_s);
@@ -38,11 +38,11 @@
   is_source_changed_ = false;
 }
 
-void EndpointStarts::on_unchanged(double now) {
+void EndpointStartTimes::on_unchanged(double now) {
   if (last_message_at_s_ && !is_source_changed_) last_message_at_s_ = now;
 }
 
-void EndpointStarts::set_cached_start_times(EndpointList& list, double now, const ClockOffsets& offsets) {
+void EndpointStartTimes::set_cached_start_times(EndpointList& list, double now, const ClockOffsets& offsets) {
   double offset_s = offset_of_stamps(list, now, offsets);
   Bounds unbounded;
   unbounded.received_at_s = now;
@@ -54,7 +54,7 @@
   }
 }
 
-void EndpointStarts::import_start_times(const EndpointList& list) {
+void EndpointStartTimes::import_start_times(const EndpointList& list) {
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     const ListEntry& entry = list.entries[i];
     Start start;
@@ -66,7 +66,7 @@
   if (list.received_at_s > 0) last_message_at_s_ = list.received_at_s;
 }
 
-void EndpointStarts::export_start_times(EndpointList& list) const {
+void EndpointStartTimes::export_start_times(EndpointList& list) const {
   list.stated_start_ms.clear();
   for (const ListEntry& entry : list.entries) {
     auto found = starts_.find(entry.endpoint);
@@ -77,8 +77,8 @@
 }
 
 // An entry that a list repeats is a known name the second time.
-void EndpointStarts::set_start_times(EndpointList& list, const Bounds& known_names, const Bounds& new_names,
-                                     double offset_s) {
+void EndpointStartTimes::set_start_times(EndpointList& list, const Bounds& known_names,
+                                         const Bounds& new_names, double offset_s) {
   ++list_number_;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry& entry = list.entries[i];
@@ -91,7 +91,7 @@
 
 // The date of discovery's response comes from the clock that the stamps come from, and takes precedence over
 // the wall clock of this machine where the two disagree.
-double EndpointStarts::select_offset(const ClockOffsets& offsets) {
+double EndpointStartTimes::select_offset(const ClockOffsets& offsets) {
   double offset_s = offsets.wall_s;
   if (offsets.discovery_s) {
     double difference_s = offsets.wall_s - *offsets.discovery_s;
@@ -108,8 +108,8 @@
 // What to subtract from a stated time, in seconds, to get the monotonic clock's. If most starts would lie in
 // the future, the clock is behind: then the newest start is taken to be now, and the distances of the others
 // to it hold by any clock.
-double EndpointStarts::offset_of_stamps(const EndpointList& list, double received_at_s,
-                                        const ClockOffsets& offsets) {
+double EndpointStartTimes::offset_of_stamps(const EndpointList& list, double received_at_s,
+                                            const ClockOffsets& offsets) {
   double offset_s = select_offset(offsets);
   std::size_t stated_count = 0;
   std::size_t future_count = 0;
@@ -126,7 +126,8 @@
 
 // A start that is stated again keeps its time. A delayed list may state the previous start again, or none:
 // no start goes back.
-double EndpointStarts::start_time_of(Start& start, double stated_ms, const Bounds& bounds, double offset_s) {
+double EndpointStartTimes::start_time_of(Start& start, double stated_ms, const Bounds& bounds,
+                                         double offset_s) {
   start.last_list_number = list_number_;
   start.is_listed = true;
   bool is_known = stated_ms <= 0 || stated_ms == start.stated_ms || stated_ms == start.previous_stated_ms;
@@ -141,7 +142,7 @@
 // A stated time outside of its bounds counts as the nearer bound, as discovery may list a start some seconds
 // late. While the clocks are doubted the latest time within the bounds is taken: an endpoint taken for older
 // than it is would get too much load.
-double EndpointStarts::clamp_to_bounds(double stated_s, const Bounds& bounds) {
+double EndpointStartTimes::clamp_to_bounds(double stated_s, const Bounds& bounds) {
   if (std::isinf(bounds.absent_until_s)) return std::min(stated_s, bounds.received_at_s);
   bool is_too_early = stated_s < bounds.absent_until_s - kMaxListDelaySeconds;
   bool is_too_late = stated_s > bounds.received_at_s + kMinClockStepSeconds;
@@ -155,7 +156,7 @@
 
 // Until when names that were not listed before are known not to have started. Another discovery may list
 // endpoints that have run for long: only where at least half of its names are known are the others new.
-double EndpointStarts::absent_until(const EndpointList& list) const {
+double EndpointStartTimes::absent_until(const EndpointList& list) const {
   if (!last_message_at_s_) return Bounds().absent_until_s;
   if (!is_source_changed_) return *last_message_at_s_;
   auto is_known = [this](const ListEntry& entry) { return starts_.contains(entry.endpoint); };
@@ -164,18 +165,18 @@
   return are_mostly_known ? *last_message_at_s_ : Bounds().absent_until_s;
 }
 
-void EndpointStarts::unlist_missing() {
+void EndpointStartTimes::unlist_missing() {
   for (auto& [name, start] : starts_) {
     if (start.is_listed && start.last_list_number != list_number_) unlist(name, start);
   }
 }
 
-void EndpointStarts::unlist(const std::string& name, Start& start) {
+void EndpointStartTimes::unlist(const std::string& name, Start& start) {
   start.is_listed = false;
   unlisted_.push_back(name);
 }
 
-void EndpointStarts::erase_oldest_unlisted() {
+void EndpointStartTimes::erase_oldest_unlisted() {
   while (unlisted_.size() > kMaxUnlistedEndpoints) {
     auto oldest = starts_.find(unlisted_.front());
     if (oldest != starts_.end() && !oldest->second.is_listed) starts_.erase(oldest);
--- a/src/discovery/endpoint_starts.h
+++ b/src/discovery/endpoint_starts.h
@@ -24,7 +24,7 @@
 // Turns the stated starts of one discovery's lists into monotonic times. A start that is listed again keeps
 // its time, whatever the wall clock does in between; a new start is no earlier than discovery's last message
 // without it. Owned by whoever owns the watch, on the event loop's thread; no function fails.
-class EndpointStarts {
+class EndpointStartTimes {
  public:
   // Endpoints that are no longer listed and whose start is still known; operators may name as many.
   static constexpr std::size_t kMaxUnlistedEndpoints = 4096;
--- a/src/discovery/endpoint_starts_clock_test.cpp
+++ b/src/discovery/endpoint_starts_clock_test.cpp
@@ -9,12 +9,12 @@
 
 using namespace test;
 
-TEST(EndpointStartsClock, PutsANewStartBetweenTheListsThatShowIt) {
+TEST(EndpointStartTimesClock, PutsANewStartBetweenTheListsThatShowIt) {
   for (double error : kWallClockErrors) {
     for (const char* name : {"a", "new"}) {  // started again, or listed for the first time
       SCOPED_TRACE(error);
       SCOPED_TRACE(name);
-      EndpointStarts starts;
+      EndpointStartTimes starts;
       first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, error);
       starts.on_unchanged(102);
 
@@ -26,10 +26,10 @@
   }
 }
 
-TEST(EndpointStartsClock, KeepsAStartThatIsStatedAgainAfterAStep) {
+TEST(EndpointStartTimesClock, KeepsAStartThatIsStatedAgainAfterAStep) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a")});
     EndpointBuilder started_again = endpoint("a").started_at(103);
 
@@ -42,10 +42,10 @@
   }
 }
 
-TEST(EndpointStartsClock, KeepsAStartOfAnEndpointThatWasLeftOutForAWhile) {
+TEST(EndpointStartTimesClock, KeepsAStartOfAnEndpointThatWasLeftOutForAWhile) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a")});
     double started = first_start_time(starts, 104, {endpoint("a").started_at(103)});
     for (double received_at : {104.5, 106.0, 108.0}) {
@@ -63,8 +63,8 @@
 
 // Without these messages a clock that is ahead by less than the quiet time would shorten each slow start by
 // as much.
-TEST(EndpointStartsClock, BoundsTheNextStartByMessagesThatNothingChanged) {
-  EndpointStarts starts;
+TEST(EndpointStartTimesClock, BoundsTheNextStartByMessagesThatNothingChanged) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 5);
   for (double received_at = 102; received_at <= 200; received_at += 2) starts.on_unchanged(received_at);
 
@@ -75,10 +75,10 @@
 
 // The clock is stepped between two of discovery's messages: what it says of a start is not believed, also
 // where it happens to lie within the bounds.
-TEST(EndpointStartsClock, TakesTheLatestTimeAfterAStepDuringASilence) {
+TEST(EndpointStartTimesClock, TakesTheLatestTimeAfterAStepDuringASilence) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
 
     double started = first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, step);
@@ -88,8 +88,8 @@
 }
 
 // No step is seen: the clock is wrong from the start.
-TEST(EndpointStartsClock, TakesTheLatestTimeOfAStartThatIsStatedLongBeforeItsBounds) {
-  EndpointStarts starts;
+TEST(EndpointStartTimesClock, TakesTheLatestTimeOfAStartThatIsStatedLongBeforeItsBounds) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 3600);
 
   double started = first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, 3600);
@@ -97,10 +97,10 @@
   EXPECT_EQ(started, 120);
 }
 
-TEST(EndpointStartsClock, TrustsTheClockAgainAfterAStartWithinNarrowBounds) {
+TEST(EndpointStartTimesClock, TrustsTheClockAgainAfterAStartWithinNarrowBounds) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
     first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, step);
 
@@ -117,8 +117,8 @@
 }
 
 // The others are placed by their distance from the newest, which no clock changes.
-TEST(EndpointStartsClock, PutsTheNewestStartAtNowWhereTheClockIsBehind) {
-  EndpointStarts starts;
+TEST(EndpointStartTimesClock, PutsTheNewestStartAtNowWhereTheClockIsBehind) {
+  EndpointStartTimes starts;
 
   std::vector<double> started = start_times(
       starts,
@@ -131,8 +131,8 @@
   EXPECT_THAT(started[1], about(62));
 }
 
-TEST(EndpointStartsClock, PutsASingleStartInTheFutureAtNow) {
-  EndpointStarts starts;
+TEST(EndpointStartTimesClock, PutsASingleStartInTheFutureAtNow) {
+  EndpointStartTimes starts;
 
   std::vector<double> started =
       start_times(starts, snapshot_at(100, {endpoint("spoilt").started_at(1e9), endpoint("a").started_at(40),
@@ -144,10 +144,10 @@
 }
 
 // The clock was wrong before the process started, and its first list has a start of a moment ago.
-TEST(EndpointStartsClock, TakesTheDateOfTheResponseWhereTheWallClockDisagrees) {
+TEST(EndpointStartTimesClock, TakesTheDateOfTheResponseWhereTheWallClockDisagrees) {
   for (double error : kWallClockErrors) {
     SCOPED_TRACE(error);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     ClockOffsets offsets = wall_clock_ahead_by(error);
     offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;  // in whole seconds
 
@@ -160,8 +160,8 @@
 }
 
 // The wall clock is the finer of the two.
-TEST(EndpointStartsClock, TakesTheWallClockWhereTheDateAgrees) {
-  EndpointStarts starts;
+TEST(EndpointStartTimesClock, TakesTheWallClockWhereTheDateAgrees) {
+  EndpointStartTimes starts;
   ClockOffsets offsets = right_wall_clock();
   offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;
 
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_starts_test.cpp
@@ -13,8 +13,8 @@
 
 using namespace test;
 
-TEST(EndpointStarts, TakesStatedTimesWithARightClock) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, TakesStatedTimesWithARightClock) {
+  EndpointStartTimes starts;
 
   std::vector<double> started = start_times(
       starts,
@@ -25,8 +25,8 @@
   EXPECT_THAT(started[2], about(99));
 }
 
-TEST(EndpointStarts, TakesAStatedTimeWithinTheBoundsOfASilence) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, TakesAStatedTimeWithinTheBoundsOfASilence) {
+  EndpointStartTimes starts;
   start_times(starts, snapshot_at(100, {endpoint("old"), endpoint("warm").started_at(40),
                                         endpoint("fresh").started_at(99)}));
 
@@ -36,8 +36,8 @@
 }
 
 // Discovery lists a start late: the time of its last message without it is the earliest that no clock denies.
-TEST(EndpointStarts, PutsAStartListedLateAtItsEarlierBound) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, PutsAStartListedLateAtItsEarlierBound) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a")});
 
   double started = first_start_time(starts, 101, {endpoint("a").started_at(99)});
@@ -45,8 +45,8 @@
   EXPECT_EQ(started, 100);
 }
 
-TEST(EndpointStarts, DoubtsNoClockForAStartListedLate) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, DoubtsNoClockForAStartListedLate) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a")});
   first_start_time(starts, 101, {endpoint("a").started_at(99)});
 
@@ -57,8 +57,8 @@
 
 // A process that starts with a right clock takes none of the endpoints of its first list for fresh that is
 // not.
-TEST(EndpointStarts, TakesStatedTimesOfACachedListAndOfTheFirstOne) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, TakesStatedTimesOfACachedListAndOfTheFirstOne) {
+  EndpointStartTimes starts;
   EndpointList cached = snapshot_at(0, {endpoint("a").started_at(10), endpoint("b").started_at(20)});
 
   starts.set_cached_start_times(cached, 100, right_wall_clock());
@@ -72,8 +72,8 @@
   EXPECT_THAT(started[2], about(60));
 }
 
-TEST(EndpointStarts, KeepsAStartWhenADelayedListStatesThePreviousOne) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, KeepsAStartWhenADelayedListStatesThePreviousOne) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a").started_at(50)});
 
   double started = first_start_time(starts, 102, {endpoint("a").started_at(101)});
@@ -83,8 +83,8 @@
   EXPECT_EQ(first_start_time(starts, 105, {endpoint("a").started_at(101)}), started);
 }
 
-TEST(EndpointStarts, TakesStatedTimesOfAnotherDiscoverysEndpoints) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, TakesStatedTimesOfAnotherDiscoverysEndpoints) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
 
   starts.on_source_changed();
@@ -95,8 +95,8 @@
   EXPECT_THAT(started[1], about(30));
 }
 
-TEST(EndpointStarts, BoundsNewNamesOfAnotherDiscoveryThatListsMostlyKnownOnes) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, BoundsNewNamesOfAnotherDiscoveryThatListsMostlyKnownOnes) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
   starts.on_source_changed();
   start_times(starts,
@@ -112,8 +112,8 @@
   EXPECT_EQ(started[2], 104);
 }
 
-TEST(EndpointStarts, RemembersABoundedNumberOfUnlistedEndpoints) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, RemembersABoundedNumberOfUnlistedEndpoints) {
+  EndpointStartTimes starts;
 
   for (int i = 0; i < 20000; ++i) {
     EndpointBuilder fresh = endpoint("s-" + std::to_string(i)).started_at(100.0 + i);
@@ -123,15 +123,15 @@
     start_times(starts, changes_at(30000 + i, {endpoint("t-" + std::to_string(i)).removed()}));
   }
 
-  EXPECT_LE(starts.known_endpoint_count(), EndpointStarts::kMaxUnlistedEndpoints + 2);
+  EXPECT_LE(starts.known_endpoint_count(), EndpointStartTimes::kMaxUnlistedEndpoints + 2);
 }
 
 // A successor takes over under slow start while the wall clock is stepped. Endpoints keep their starts, and
 // what starts meanwhile is bounded by the predecessor's last message.
-TEST(EndpointStarts, KeepsStartsWhenTheClockIsSteppedDuringAHandover) {
+TEST(EndpointStartTimes, KeepsStartsWhenTheClockIsSteppedDuringAHandover) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts predecessor;
+    EndpointStartTimes predecessor;
     first_start_time(predecessor, 100, {endpoint("a"), endpoint("b"), endpoint("c")});
     EndpointList list = snapshot_at(104, {endpoint("a").started_at(103), endpoint("b"), endpoint("c")});
     predecessor.on_list(list, right_wall_clock());
@@ -139,7 +139,7 @@
     list.received_at_s = 0;                  // as in a list that the proxy has put together
     predecessor.export_start_times(list);
 
-    EndpointStarts successor;
+    EndpointStartTimes successor;
     successor.import_start_times(list);
     EndpointList cached = list;
     successor.set_cached_start_times(cached, 104.2, wall_clock_ahead_by(step));
--- a/src/hot_restart/control_address.cpp
+++ b/src/hot_restart/control_address.cpp
@@ -12,7 +12,7 @@
 
 namespace puffinvane {
 
-std::string control_path(std::string_view listen) {
+std::string control_socket_path(std::string_view listen) {
   const char* folder = std::getenv("TMPDIR");
   if (!folder || !*folder || listen.find('/') != std::string_view::npos) return {};
   return std::string(folder) + "/puffinvane-" + std::string(listen);
--- a/src/hot_restart/control_address.h
+++ b/src/hot_restart/control_address.h
@@ -11,7 +11,7 @@
 
 // The path of the control socket of the sidecar that listens at that address, in $TMPDIR. Empty if $TMPDIR is
 // not set or the address can't be a file name: then there is no hot restart.
-std::string control_path(std::string_view listen);
+std::string control_socket_path(std::string_view listen);
 
 // The address of a Unix socket at a path of any length. Holds the folder open, as the system allows 107 bytes
 // for a socket's name and the folder is named by its descriptor.
--- a/src/hot_restart/control_address_test.cpp
+++ b/src/hot_restart/control_address_test.cpp
@@ -40,19 +40,19 @@
 TEST(ControlPath, IsInTheTemporaryFolder) {
   const ScopedTemporaryFolder folder("/somewhere");
 
-  EXPECT_EQ(control_path("127.0.0.1:5001"), "/somewhere/puffinvane-127.0.0.1:5001");
+  EXPECT_EQ(control_socket_path("127.0.0.1:5001"), "/somewhere/puffinvane-127.0.0.1:5001");
 }
 
 TEST(ControlPath, IsEmptyWithoutATemporaryFolder) {
   const ScopedTemporaryFolder folder(nullptr);
 
-  EXPECT_EQ(control_path("127.0.0.1:5001"), "");
+  EXPECT_EQ(control_socket_path("127.0.0.1:5001"), "");
 }
 
 TEST(ControlPath, IsEmptyForAnAddressThatIsNoFileName) {
   const ScopedTemporaryFolder folder("/somewhere");
 
-  EXPECT_EQ(control_path("a/b"), "");
+  EXPECT_EQ(control_socket_path("a/b"), "");
 }
 
 TEST(ControlAddress, FindsNoSocketWhereThereIsNoFile) {
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -26,10 +26,10 @@
          &HotRestart::discard_successor},
 };
 
-HotRestart::HotRestart(Loop& loop, Owner& owner, std::string control_path, Ref<GSocket> predecessor)
+HotRestart::HotRestart(Loop& loop, Owner& owner, std::string control_socket_path, Ref<GSocket> predecessor)
     : loop_(loop),
       owner_(owner),
-      listener_(loop, static_cast<ControlListener::Owner&>(*this), std::move(control_path)) {
+      listener_(loop, static_cast<ControlListener::Owner&>(*this), std::move(control_socket_path)) {
   loop_.descriptors().reserve(kReservedDescriptors);
   if (!predecessor) return;
   predecessor_ =
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -36,7 +36,7 @@
   };
 
   // predecessor: the control channel of a takeover; null if there was none.
-  HotRestart(Loop& loop, Owner& owner, std::string control_path, Ref<GSocket> predecessor);
+  HotRestart(Loop& loop, Owner& owner, std::string control_socket_path, Ref<GSocket> predecessor);
 
   // The owner serves. Notifies the predecessor; from here on a successor may connect.
   void on_serving();
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -119,7 +119,7 @@
 
 Takeover take_over(Log& log, SidecarConfig& assignment) {
   Result<Takeover, TakeoverError> requested =
-      request_takeover(control_path(assignment.listen), kTakeoverTimeoutSeconds);
+      request_takeover(control_socket_path(assignment.listen), kTakeoverTimeoutSeconds);
   if (!requested) {
     if (requested.error() != TakeoverError::NoPredecessor) {
       log.event(Level::Warning, "hot_restart.takeover_failed")
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -35,7 +35,7 @@
     EndpointList known() const;  // what discovery has said, all in all
     site::Pool pool;
     std::unique_ptr<RequestForwarder> forwarder;
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     std::unique_ptr<DiscoveryWatch> watch;
     std::map<std::string, std::pair<ListEntry, std::string>> listed;  // by discovery, with addresses
     std::map<std::string, double> since;  // when a static endpoint joined; 0: with the pool itself
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -55,7 +55,7 @@
   if (assignment_.admin.empty()) return;
   has_predecessor_ = takeover_.predecessor != nullptr;
   if (has_predecessor_) limiter_.share_limits(true);
-  hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_path(assignment_.listen),
+  hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_socket_path(assignment_.listen),
                        std::move(takeover_.predecessor));
   admin_.emplace(loop, limiter_, operations_, static_cast<AdminApi::Owner&>(*this));
 }
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -86,7 +86,7 @@
   RequestForwarder forwarder_;
   DownstreamConnections downstream_;
   Listener listener_;
-  EndpointStarts starts_;
+  EndpointStartTimes starts_;
   DiscoveryWatch watch_;
   Operations operations_;
   Takeover takeover_;
--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -86,7 +86,7 @@
   }
   element fleet;
   if (!config["fleet"].get(fleet)) read.fleet = read_place(fleet, read);
-  if (!config["known"].get(known)) read.known = read_endpoint_list(known);
+  if (!config["known"].get(known)) read.known = parse_endpoint_list_or_throw(known);
   if (!config["limits"].get(limits)) {
     double figure = 0;
     if (!limits["sockets"].get(figure) && figure > 0) read.descriptors = int(figure);
--- a/testing/discovery_stand_ins.h
+++ b/testing/discovery_stand_ins.h
@@ -100,7 +100,7 @@
   }
   std::vector<double> received_at_s_;
   double first_started_at_s_ = 0;
-  EndpointStarts starts_;
+  EndpointStartTimes starts_;
   DiscoveryWatch watch_;
 };
 
--- a/testing/start_times.h
+++ b/testing/start_times.h
@@ -1,4 +1,5 @@
-// What tests of endpoint start times share: how lists reach EndpointStarts, and what a time is compared with.
+// What tests of endpoint start times share: how lists reach EndpointStartTimes, and what a time is compared
+// with.
 #pragma once
 
 #include <gmock/gmock.h>
@@ -33,7 +34,7 @@
 inline ClockOffsets right_wall_clock() { return wall_clock_ahead_by(0); }
 
 // The start times of a list's entries, in its order.
-inline std::vector<double> start_times(EndpointStarts& starts, EndpointList list,
+inline std::vector<double> start_times(EndpointStartTimes& starts, EndpointList list,
                                        const ClockOffsets& offsets = right_wall_clock()) {
   starts.on_list(list, offsets);
   std::vector<double> started_at_s;
@@ -42,7 +43,7 @@
 }
 
 // The start time of a snapshot's first entry.
-inline double first_start_time(EndpointStarts& starts, double received_at_s,
+inline double first_start_time(EndpointStartTimes& starts, double received_at_s,
                                const std::vector<EndpointBuilder>& endpoints, double wall_error_s = 0) {
   EndpointList list = snapshot_at(received_at_s, endpoints);
   return start_times(starts, std::move(list), wall_clock_ahead_by(wall_error_s)).front();
