--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -12,7 +12,7 @@
 #include "src/discovery/call_backoff.h"
 #include "src/discovery/call_timeouts.h"
 #include "src/discovery/discovery.h"
-#include "src/discovery/endpoint_starts.h"
+#include "src/discovery/endpoint_start_times.h"
 #include "src/discovery/list_cursor.h"
 #include "src/discovery/list_splitter.h"
 #include "src/http/http.h"
--- a/src/discovery/endpoint_starts.cpp
+++ b/src/discovery/endpoint_start_times.cpp
@@ -1,4 +1,4 @@
-#include "src/discovery/endpoint_starts.h"
+#include "src/discovery/endpoint_start_times.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/discovery/endpoint_starts_clock_test.cpp
+++ b/src/discovery/endpoint_start_times_clock_test.cpp
@@ -1,7 +1,7 @@
 // Start times by a wall clock that is wrong or is stepped. Times are the monotonic clock's.
 #include <gtest/gtest.h>
 
-#include "src/discovery/endpoint_starts.h"
+#include "src/discovery/endpoint_start_times.h"
 #include "testing/start_times.h"
 
 namespace puffinvane {
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_start_times_test.cpp
@@ -1,6 +1,6 @@
 // Start times by a right wall clock: starts that are repeated, listed late or by another discovery, and what
 // a successor gets of them.
-#include "src/discovery/endpoint_starts.h"
+#include "src/discovery/endpoint_start_times.h"
 
 #include <gtest/gtest.h>
 
--- a/testing/start_times.h
+++ b/testing/start_times.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "src/discovery/endpoint_starts.h"
+#include "src/discovery/endpoint_start_times.h"
 #include "testing/endpoint_lists.h"
 
 namespace puffinvane::test {
