--- a/src/discovery/call_backoff.cpp
+++ b/src/discovery/call_backoff.cpp
@@ -9,16 +9,17 @@
 
 constexpr double kPushedDelaySeconds = 0.15;
 
-// One discovery answers all instances in turn, and refusing a call is work too: with short delays all of them
-// together, as when all watches are reset at once, would keep it refusing for ever. A change must be received
-// 6 s after a watch broke though three calls were refused: 0.5 + 1 + 1.4 s of delays at their longest, and 2
-// s in which the last call waits for its turn.
+// On request: one discovery service answers the calls of all instances one by one, and even refusing a call
+// costs it work. If all watches are reset at once and the instances retry with short delays, it never gets
+// beyond refusing calls. The upper limit on the delays: a change must be received within 6 s after a watch
+// broke, even if three calls are refused. With maximum jitter the delays are 0.5 + 1 + 1.4 s, and the last
+// call may be queued for 2 s.
 constexpr double kFirstDelaySeconds = 0.4;
 constexpr double kMaxDelaySeconds = 1.1;
-constexpr double kDelaySpread = 0.25;  // as a share of the delay, to either side
+constexpr double kJitter = 0.25;  // the delay varies by up to this fraction in either direction
 constexpr int kMaxDoublings = 8;
 
-// An answered call that ends later than this after its answer did not fail.
+// A call that lasts longer than this after it was answered counts as successful.
 constexpr double kMinWatchSeconds = 2;
 
 }  // namespace
@@ -30,7 +31,7 @@
   double doubled_s = std::ldexp(kFirstDelaySeconds, std::min(failures_, kMaxDoublings));
   ++failures_;
   double uniform = std::ldexp(double(random_()), -32);  // in [0, 1)
-  return std::min(kMaxDelaySeconds, doubled_s) * (1 - kDelaySpread + 2 * kDelaySpread * uniform);
+  return std::min(kMaxDelaySeconds, doubled_s) * (1 - kJitter + 2 * kJitter * uniform);
 }
 
 }  // namespace puffinvane
--- a/src/discovery/call_backoff.h
+++ b/src/discovery/call_backoff.h
@@ -1,4 +1,4 @@
-// How long a watch waits between a call that ended and the next. The timer itself is the watch's.
+// The delay between the end of a call to discovery and the next call. DiscoveryWatch runs the timer.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,21 @@
 // Owned by a DiscoveryWatch, on the event loop's thread. Times are monotonic, in seconds.
 class CallBackoff {
  public:
-  // seed: differs between instances, so that they do not call one discovery at the same moments.
+  // seed: of the random jitter. It has to differ between instances, so that they don't call a shared
+  // discovery service in step.
   CallBackoff(DiscoveryMode mode, std::uint64_t seed) : mode_(mode), random_(seed) {}
 
-  // Discovery answered a call.
+  // Discovery has begun to answer the current call.
   void on_call_answered(double now) { answered_at_ = now; }
-  // Seconds from the end of a call to the next one. Where asking is work they double with each call in a row
-  // that failed.
+  // Seconds to wait before the next call, given that a call has ended at `now`. Constant in pushed mode; in
+  // on-request mode the delay doubles with each consecutive failed call, up to a limit, and is jittered.
   double next_delay_s(double now);
 
  private:
   const DiscoveryMode mode_;
   pcg32 random_;
-  std::optional<double> answered_at_;  // since the last delay
-  int failures_ = 0;                   // in a row
+  std::optional<double> answered_at_;  // when the current call was answered
+  int failures_ = 0;                   // consecutive
 };
 
 }  // namespace puffinvane
--- a/src/discovery/call_timeouts.h
+++ b/src/discovery/call_timeouts.h
@@ -1,4 +1,4 @@
-// How long each stage of a call to discovery may take. Noticing that it took longer is the watch's.
+// The timeout of each stage of a call to discovery. DiscoveryWatch checks whether it has elapsed.
 #pragma once
 
 #include "src/discovery/discovery.h"
@@ -6,12 +6,12 @@
 
 namespace puffinvane {
 
-// What has come of the current call.
+// How far the current call has got.
 struct CallProgress {
   CallScope scope = CallScope::Changes;
-  bool has_partial_list = false;  // a list has begun to arrive
-  bool has_full_list = false;     // a full list has come since the stage began
-  double last_bytes_after_s = 0;  // from the beginning of the stage until the last byte came
+  bool has_partial_list = false;  // a list has been received in part
+  bool has_full_list = false;     // a full list was received in this stage
+  double last_bytes_after_s = 0;  // from the start of the stage to the last byte received
 };
 
 // Owned by a DiscoveryWatch, on the event loop's thread. All durations are in seconds.
@@ -19,26 +19,30 @@
  public:
   explicit CallTimeouts(DiscoveryMode mode) : mode_(mode) {}
 
-  // From the start of a connection until it is up.
-  double connect_s() const;
-  // From the request until the response counts as begun.
-  double response_s(const CallProgress& progress) const;
-  // From the request, or from the last line where asking is work, until the call is renewed.
-  double watch_s(const CallProgress& progress) const;
-
-  // An answer that takes its time in full came so long after the request.
-  void on_answer(double duration_s);
-  // A list was still arriving at the timeout of that stage: the next one has twice as long.
+  // From the start of a connection attempt until the connection is established.
+  double connect_timeout_s() const;
+  // From sending the request until the first answer: a line of the response or, for a call for changes in
+  // pushed mode, the response head.
+  double response_timeout_s(const CallProgress& progress) const;
+  // Until the call is replaced by a new one. Pushed mode: from sending the request for a call for changes,
+  // from the first list for a call for all endpoints. On-request mode: from the last line received.
+  double watch_timeout_s(const CallProgress& progress) const;
+
+  // The first list or blank line of a call was received this long after the request. The next list may take
+  // twice as long. Not for calls for changes in pushed mode, whose response head is the answer.
+  void record_response_time(double duration_s);
+  // response_timeout_s() or watch_timeout_s() has elapsed while a list was being received. The next list may
+  // take twice as long.
   void on_list_late_for_response();
   void on_list_late_for_renewal();
 
  private:
-  double first_answer_s() const;
-  double arriving_list_s(const CallProgress& progress) const;
+  double min_response_timeout_s() const;
+  double arriving_list_timeout_s(const CallProgress& progress) const;
   void extend_list_timeout(double min_s);
 
   const DiscoveryMode mode_;
-  double list_s_ = 0;  // for a list to arrive, by how long the last one took
+  double list_timeout_s_ = 0;  // how long a list may take, based on earlier lists
 };
 
 }  // namespace puffinvane
--- a/src/discovery/call_timing_test.cpp
+++ b/src/discovery/call_timing_test.cpp
@@ -1,4 +1,4 @@
-// The durations of CallTimeouts and CallBackoff.
+// Timeouts and delays of calls to discovery: CallTimeouts and CallBackoff.
 #include <gtest/gtest.h>
 
 #include "src/discovery/call_backoff.h"
@@ -21,51 +21,51 @@
 TEST(CallTimeouts, RenewsACallForChangesSoonerThanOneForTheFullList) {
   CallTimeouts timeouts(DiscoveryMode::Pushed);
 
-  EXPECT_EQ(timeouts.watch_s(CallProgress()), 1.6);
-  EXPECT_EQ(timeouts.watch_s(full_list_call()), 2);
+  EXPECT_EQ(timeouts.watch_timeout_s(CallProgress()), 1.6);
+  EXPECT_EQ(timeouts.watch_timeout_s(full_list_call()), 2);
 }
 
-TEST(CallTimeouts, WaitsForTheTurnOfACallOnRequest) {
+TEST(CallTimeouts, AllowsForTheQueueOfDiscoveryOnRequest) {
   CallTimeouts timeouts(DiscoveryMode::OnRequest);
 
-  EXPECT_EQ(timeouts.response_s(CallProgress()), 2.2);
-  EXPECT_EQ(timeouts.watch_s(CallProgress()), 2.4);
+  EXPECT_EQ(timeouts.response_timeout_s(CallProgress()), 2.2);
+  EXPECT_EQ(timeouts.watch_timeout_s(CallProgress()), 2.4);
 }
 
-TEST(CallTimeouts, GivesAListThatWasLateTwiceAsLongUpToFourSeconds) {
+TEST(CallTimeouts, DoublesTheTimeForAListAfterATimeoutUpToFourSeconds) {
   CallTimeouts timeouts(DiscoveryMode::Pushed);
   CallProgress arriving = with_partial_list(full_list_call());
 
   timeouts.on_list_late_for_response();
-  double second_s = timeouts.response_s(arriving);
+  double second_s = timeouts.response_timeout_s(arriving);
   timeouts.on_list_late_for_response();
   timeouts.on_list_late_for_response();
-  double last_s = timeouts.response_s(arriving);
+  double last_s = timeouts.response_timeout_s(arriving);
 
   EXPECT_EQ(second_s, 1.6);
   EXPECT_EQ(last_s, 4);
 }
 
-TEST(CallTimeouts, GivesAListTwiceAsLongAsTheLastOneTook) {
+TEST(CallTimeouts, AllowsAListTwiceTheTimeOfTheLastOne) {
   CallTimeouts timeouts(DiscoveryMode::Pushed);
 
-  timeouts.on_answer(1.5);
+  timeouts.record_response_time(1.5);
 
-  EXPECT_EQ(timeouts.response_s(full_list_call()), 3);
-  EXPECT_EQ(timeouts.watch_s(with_partial_list(CallProgress())), 3);
-  EXPECT_EQ(timeouts.response_s(CallProgress()), 0.8);
+  EXPECT_EQ(timeouts.response_timeout_s(full_list_call()), 3);
+  EXPECT_EQ(timeouts.watch_timeout_s(with_partial_list(CallProgress())), 3);
+  EXPECT_EQ(timeouts.response_timeout_s(CallProgress()), 0.8);
 }
 
-TEST(CallTimeouts, GivesAListOnRequestTimeWhileItArrives) {
+TEST(CallTimeouts, ExtendsTheTimeoutOnRequestWhileAListArrives) {
   CallTimeouts timeouts(DiscoveryMode::OnRequest);
   CallProgress arriving = with_partial_list(full_list_call());
   CallProgress endless = arriving;
   arriving.last_bytes_after_s = 2.5;
   endless.last_bytes_after_s = 60;
 
-  EXPECT_EQ(timeouts.response_s(arriving), 2.7);
-  EXPECT_EQ(timeouts.watch_s(arriving), 2.7);
-  EXPECT_EQ(timeouts.response_s(endless), 4);
+  EXPECT_EQ(timeouts.response_timeout_s(arriving), 2.7);
+  EXPECT_EQ(timeouts.watch_timeout_s(arriving), 2.7);
+  EXPECT_EQ(timeouts.response_timeout_s(endless), 4);
 }
 
 TEST(CallBackoff, IsConstantInPushedMode) {
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(CallBackoff, StartsAnewAfterAWatchThatStood) {
+TEST(CallBackoff, StartsAgainAfterALongWatch) {
   CallBackoff backoff(DiscoveryMode::OnRequest, 1);
   for (int i = 0; i < 4; ++i) backoff.next_delay_s(10);
 
@@ -98,7 +98,7 @@
   EXPECT_LE(delay_s, 0.5);
 }
 
-TEST(CallBackoff, GoesOnAfterAWatchThatEndedAtOnce) {
+TEST(CallBackoff, KeepsTheLongDelayAfterAShortWatch) {
   CallBackoff backoff(DiscoveryMode::OnRequest, 1);
   for (int i = 0; i < 4; ++i) backoff.next_delay_s(10);
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-std::optional<std::string> text_of(element entry, std::string_view key) {
+std::optional<std::string> find_string(element entry, std::string_view key) {
   std::string_view found;
   if (entry[key].get(found)) return std::nullopt;
   return std::string(found);
 }
 
-double number_of(element entry, std::string_view key, double fallback) {
+double number_or(element entry, std::string_view key, double fallback) {
   double found = 0;
   return entry[key].get(found) ? fallback : found;
 }
 
-std::optional<ListedState> state_of(std::string_view status) {
+std::optional<ListedState> parse_state(std::string_view status) {
   if (status == "active") return ListedState::Ready;
   if (status == "leaving") return ListedState::Draining;
   if (status == "left") return ListedState::Removed;
@@ -32,33 +32,33 @@
   return {ListFault::MissingEntryField, std::string(key)};
 }
 
-// Appends one entry to `list`; nothing is appended on an error.
+// Parses one entry and appends it to `list`. On an error `list` is unchanged.
 std::optional<ListError> parse_entry(element json, EndpointList& list) {
-  std::optional<std::string> name = text_of(json, "name");
+  std::optional<std::string> name = find_string(json, "name");
   if (!name) return missing_entry_field("name");
-  std::optional<std::string> status = text_of(json, "status");
+  std::optional<std::string> status = find_string(json, "status");
   if (!status) return missing_entry_field("status");
-  std::optional<ListedState> state = state_of(*status);
+  std::optional<ListedState> state = parse_state(*status);
   if (!state) return ListError{ListFault::UnknownStatus, *status};
-  std::optional<std::string> address = text_of(json, "address");
+  std::optional<std::string> address = find_string(json, "address");
   if (!address && *state != ListedState::Removed) return missing_entry_field("address");
 
   ListEntry entry;
   entry.endpoint = std::move(*name);
-  entry.zone = text_of(json, "zone").value_or("");
+  entry.zone = find_string(json, "zone").value_or("");
   entry.state = *state;
   if (json["group"].get(entry.cell)) entry.cell = 0;
-  entry.weight = number_of(json, "weight", 1);
+  entry.weight = number_or(json, "weight", 1);
   if (!(entry.weight > 0)) entry.weight = 1;
   list.entries.push_back(std::move(entry));
   list.addresses.push_back(address.value_or(""));
-  list.stated_start_ms.push_back(std::max(0.0, number_of(json, "since_ms", 0)));
+  list.stated_start_ms.push_back(std::max(0.0, number_or(json, "since_ms", 0)));
   return std::nullopt;
 }
 
 }  // namespace
 
-std::string_view name_of(ListFault fault) {
+std::string_view to_string(ListFault fault) {
   switch (fault) {
     case ListFault::InvalidJson: return "invalid_json";
     case ListFault::MissingListField: return "missing_list_field";
@@ -73,17 +73,17 @@
 }
 
 std::string describe(const ListError& error) {
-  switch (error.what) {
-    case ListFault::InvalidJson: return "not JSON: " + error.where;
-    case ListFault::MissingListField: return "a list has no " + error.where;
-    case ListFault::MissingEntryField: return "a list entry lacks " + error.where;
-    case ListFault::UnknownStatus: return "a list entry has the unknown status " + error.where;
-    case ListFault::IndexWentBack: return "the index of the list is lower than before";
+  switch (error.fault) {
+    case ListFault::InvalidJson: return "the list is not valid JSON: " + error.detail;
+    case ListFault::MissingListField: return "the list lacks the field \"" + error.detail + "\"";
+    case ListFault::MissingEntryField: return "a list entry lacks the field \"" + error.detail + "\"";
+    case ListFault::UnknownStatus: return "a list entry has the unknown status \"" + error.detail + "\"";
+    case ListFault::IndexWentBack: return "the index of the list is lower than that of the list before";
     case ListFault::EmptySnapshot: return "the list of all endpoints is empty";
     case ListFault::TooLong: return "the list is longer than the limit";
     case ListFault::CutOff: return "the list ends before its closing brace";
   }
-  return "unknown fault of a list";
+  return "unknown list fault";
 }
 
 ListResult parse_endpoint_list(element json) {
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
-// The endpoint lists of the discovery service: their types, their JSON form and what can be wrong with it.
-// Splitting a watch into lists (list_splitter.h) and following it (discovery_watch.h) are not done here.
+// Endpoint lists of the discovery service: their types, their JSON parser and its errors. list_splitter.h
+// splits a response into lists, and discovery_watch.h requests them.
 #pragma once
 
 #include <simdjson.h>
@@ -15,22 +15,24 @@
 
 namespace puffinvane {
 
-// How lists reach this process: the agent of this machine pushes them and answers a call at once and at no
-// cost, or each call is work for one discovery that answers all.
+// How this process gets endpoint lists.
+// Pushed: from an agent on this machine, which answers each call at once and at negligible cost.
+// OnRequest: from a central discovery service that serves all instances, so that every call adds to its load.
 enum class DiscoveryMode { Pushed, OnRequest };
 
-// One list: all endpoints (a snapshot), or those that changed after an earlier index.
+// One list: all endpoints (a snapshot), or only those that changed since an earlier index.
 struct EndpointList {
-  std::int64_t index = 0;  // grows with each change that discovery makes
+  std::int64_t index = 0;  // discovery increments it with each change
   bool is_snapshot = false;
-  std::vector<ListEntry> entries;       // online_since_s is set by EndpointStartTimes
-  std::vector<std::string> addresses;   // one for each entry
-  std::vector<double> stated_start_ms;  // one for each entry, Unix time; 0: long ago, or not stated
-  double received_at_s = 0;             // monotonic; 0: not known
-  bool has_start_times = false;         // online_since_s of the entries is set
+  std::vector<ListEntry> entries;       // EndpointStartTimes sets their online_since_s
+  std::vector<std::string> addresses;   // parallel to entries
+  std::vector<double> stated_start_ms;  // parallel to entries; Unix time; 0: long ago or not stated
+  double received_at_s = 0;             // monotonic; 0: unknown
+  bool has_start_times = false;         // whether online_since_s of the entries is set
 };
 
-// What makes a list unusable. The first four come from its text, the others from how it follows on others.
+// Why a list is rejected. The parser finds the first four, ListCursor those of the sequence of lists
+// (IndexWentBack, EmptySnapshot), and DiscoveryWatch those of the transfer (TooLong, CutOff).
 enum class ListFault {
   InvalidJson,
   MissingListField,
@@ -43,28 +45,30 @@
 };
 
 struct ListError {
-  ListFault what = ListFault::InvalidJson;
-  std::string where;  // the field, the status or the parser's message; empty where `what` says all
+  ListFault fault = ListFault::InvalidJson;
+  std::string detail;  // the field, the status or the parser's message; empty for the other faults
 };
 
 using ListResult = Result<EndpointList, ListError>;
 
-// The name of a fault in log events, as "missing_entry_field".
-std::string_view name_of(ListFault fault);
-// One line for people.
+// The name of a fault in log events, e.g. "missing_entry_field".
+std::string_view to_string(ListFault fault);
+// An error message of one line, e.g. `a list entry lacks the field "address"`.
 std::string describe(const ListError& error);
 
-// Reads one list (protocol: "The registry"). Fails where a field is missing or a status unknown.
+// Parses one list (protocol: "The registry"). Fails if the JSON is invalid, a required field is missing or a
+// status is unknown.
 ListResult parse_endpoint_list(simdjson::dom::element json);
 ListResult parse_endpoint_list(std::string_view text);
 
-// The same for readers of settings: throws Malformed with describe() of the error.
+// As parse_endpoint_list, for code that reads settings: throws Malformed with describe() of the error.
 EndpointList parse_endpoint_list_or_throw(simdjson::dom::element json);
 
-// Unix time in seconds of an HTTP date ("Tue, 14 Nov 2023 22:13:20 GMT"); none if `date` is not one.
+// Parses an HTTP date ("Tue, 14 Nov 2023 22:13:20 GMT") as Unix time in seconds; nullopt if it is invalid.
 std::optional<double> parse_http_date(std::string_view date);
 
-// Parses one list after the other in memory that is used again, except for long lists: theirs is released.
+// Parses lists one by one and reuses its memory. A list of more than kMaxRetainedBytes gets memory of its
+// own, which is freed afterwards, so that one long list doesn't occupy memory for good.
 class ListParser {
  public:
   ListResult parse(std::string_view text);
--- a/src/discovery/discovery_events.cpp
+++ b/src/discovery/discovery_events.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::string_view name_of(CallFailed::Reason reason) {
+std::string_view to_string(CallFailed::Reason reason) {
   switch (reason) {
     case CallFailed::Reason::InvalidHttp: return "invalid_http";
     case CallFailed::Reason::HttpStatus: return "http_status";
@@ -17,15 +17,15 @@
 void log_call_failed(Log& log, std::string_view address, const CallFailed& failure) {
   log.event(Level::Warning, "discovery.call_failed")
       .with("address", address)
-      .with("reason", name_of(failure.reason))
+      .with("reason", to_string(failure.reason))
       .with("status", failure.http_status);
 }
 
 void log_list_rejected(Log& log, std::string_view address, const ListError& error) {
   log.event(Level::Warning, "discovery.list_rejected")
       .with("address", address)
-      .with("reason", name_of(error.what))
-      .with("where", error.where);
+      .with("reason", to_string(error.fault))
+      .with("where", error.detail);
 }
 
 }  // namespace puffinvane
--- a/src/discovery/discovery_events.h
+++ b/src/discovery/discovery_events.h
@@ -1,5 +1,4 @@
-// The log events of discovery: their names and fields (docs/oncall.md lists them). When they are written is
-// decided by the watch.
+// Writes the log events of discovery, which docs/oncall.md lists. DiscoveryWatch decides when to log them.
 #pragma once
 
 #include <string_view>
@@ -11,7 +10,8 @@
 
 // discovery.call_failed address=... reason=invalid_http|http_status status=...
 void log_call_failed(Log& log, std::string_view address, const CallFailed& failure);
-// discovery.list_rejected address=... reason=... where=..., with name_of() of the fault.
+// discovery.list_rejected address=... reason=... where=...
+// The reason is to_string() of the fault.
 void log_list_rejected(Log& log, std::string_view address, const ListError& error);
 
 }  // namespace puffinvane
--- a/src/discovery/discovery_events_test.cpp
+++ b/src/discovery/discovery_events_test.cpp
@@ -7,7 +7,7 @@
 namespace puffinvane {
 namespace {
 
-TEST(DiscoveryEvents, NameTheStatusOfAFailedCall) {
+TEST(DiscoveryEvents, ContainTheStatusOfAFailedCall) {
   std::ostringstream output;
   Log log(output, Level::Warning);
 
@@ -17,7 +17,7 @@
             "warning: discovery.call_failed address=127.0.0.1:5000 reason=http_status status=503\n");
 }
 
-TEST(DiscoveryEvents, NameTheFaultAndThePlaceOfARejectedList) {
+TEST(DiscoveryEvents, ContainTheFaultAndTheFieldOfARejectedList) {
   std::ostringstream output;
   Log log(output, Level::Warning);
 
--- a/src/discovery/discovery_test.cpp
+++ b/src/discovery/discovery_test.cpp
@@ -7,19 +7,19 @@
 namespace puffinvane {
 namespace {
 
-EndpointList list_of(const std::string& text) { return parse_endpoint_list(text).value(); }
+EndpointList parse_list(const std::string& text) { return parse_endpoint_list(text).value(); }
 
-ListError error_of(const std::string& text) { return parse_endpoint_list(text).error(); }
+ListError parse_error_of(const std::string& text) { return parse_endpoint_list(text).error(); }
 
-// A list with one entry that has these fields.
+// The JSON text of a list with one entry that has these fields.
 std::string list_with_entry(const std::string& fields) {
   return R"({"index":43,"snapshot":false,"endpoints":[{)" + fields + "}]}";
 }
 
 TEST(EndpointListParser, ReadsIndexAndScope) {
-  EndpointList changes = list_of(R"({"index":43,"snapshot":false,"endpoints":[]})");
-  EndpointList snapshot = list_of(R"({"index":44,"snapshot":true,"endpoints":[]})");
-  EndpointList unstated = list_of(R"({"index":45,"endpoints":[]})");
+  EndpointList changes = parse_list(R"({"index":43,"snapshot":false,"endpoints":[]})");
+  EndpointList snapshot = parse_list(R"({"index":44,"snapshot":true,"endpoints":[]})");
+  EndpointList unstated = parse_list(R"({"index":45,"endpoints":[]})");
 
   EXPECT_EQ(changes.index, 43);
   EXPECT_FALSE(changes.is_snapshot);
@@ -28,7 +28,7 @@
 }
 
 TEST(EndpointListParser, ReadsAllFieldsOfAnEntry) {
-  EndpointList list = list_of(list_with_entry(
+  EndpointList list = parse_list(list_with_entry(
       R"("name":"s-1","address":"10.1.0.18:5000","zone":"a","group":3,"status":"leaving","weight":1.5,)"
       R"("since_ms":5000)"));
 
@@ -43,8 +43,8 @@
 }
 
 TEST(EndpointListParser, ReplacesValuesThatAreOutOfRange) {
-  EndpointList list =
-      list_of(list_with_entry(R"("name":"s-1","address":"a:1","status":"active","weight":0,"since_ms":-1)"));
+  EndpointList list = parse_list(
+      list_with_entry(R"("name":"s-1","address":"a:1","status":"active","weight":0,"since_ms":-1)"));
 
   ASSERT_EQ(list.entries.size(), 1u);
   EXPECT_EQ(list.entries[0].state, ListedState::Ready);
@@ -53,7 +53,7 @@
 }
 
 TEST(EndpointListParser, ReadsARemovedEntryWithoutAnAddress) {
-  EndpointList list = list_of(list_with_entry(R"("name":"s-1","status":"left","new":{"field":1})"));
+  EndpointList list = parse_list(list_with_entry(R"("name":"s-1","status":"left","new":{"field":1})"));
 
   ASSERT_EQ(list.entries.size(), 1u);
   EXPECT_EQ(list.entries[0].state, ListedState::Removed);
@@ -63,39 +63,39 @@
 TEST(EndpointListParser, ReportsTextThatIsNotJson) {
   for (const char* text : {"", "{", "{]"}) {
     SCOPED_TRACE(text);
-    EXPECT_EQ(error_of(text).what, ListFault::InvalidJson);
+    EXPECT_EQ(parse_error_of(text).fault, ListFault::InvalidJson);
   }
 }
 
-TEST(EndpointListParser, ReportsTheFieldThatAListLacks) {
-  ListError no_index = error_of("{}");
-  ListError no_endpoints = error_of(R"({"index":1})");
+TEST(EndpointListParser, ReportsAMissingFieldOfAList) {
+  ListError no_index = parse_error_of("{}");
+  ListError no_endpoints = parse_error_of(R"({"index":1})");
 
-  EXPECT_EQ(no_index.what, ListFault::MissingListField);
-  EXPECT_EQ(no_index.where, "index");
-  EXPECT_EQ(no_endpoints.what, ListFault::MissingListField);
-  EXPECT_EQ(no_endpoints.where, "endpoints");
+  EXPECT_EQ(no_index.fault, ListFault::MissingListField);
+  EXPECT_EQ(no_index.detail, "index");
+  EXPECT_EQ(no_endpoints.fault, ListFault::MissingListField);
+  EXPECT_EQ(no_endpoints.detail, "endpoints");
 }
 
-TEST(EndpointListParser, ReportsTheFieldThatAnEntryLacks) {
-  ListError no_name = error_of(list_with_entry(R"("status":"active")"));
-  ListError no_status = error_of(list_with_entry(R"("name":"a")"));
-  ListError no_address = error_of(list_with_entry(R"("name":"a","status":"active")"));
+TEST(EndpointListParser, ReportsAMissingFieldOfAnEntry) {
+  ListError no_name = parse_error_of(list_with_entry(R"("status":"active")"));
+  ListError no_status = parse_error_of(list_with_entry(R"("name":"a")"));
+  ListError no_address = parse_error_of(list_with_entry(R"("name":"a","status":"active")"));
 
-  EXPECT_EQ(no_name.what, ListFault::MissingEntryField);
-  EXPECT_EQ(no_name.where, "name");
-  EXPECT_EQ(no_status.where, "status");
-  EXPECT_EQ(no_address.where, "address");
+  EXPECT_EQ(no_name.fault, ListFault::MissingEntryField);
+  EXPECT_EQ(no_name.detail, "name");
+  EXPECT_EQ(no_status.detail, "status");
+  EXPECT_EQ(no_address.detail, "address");
 }
 
 TEST(EndpointListParser, ReportsAnUnknownStatus) {
-  ListError error = error_of(list_with_entry(R"("name":"a","status":"asleep","address":"b")"));
+  ListError error = parse_error_of(list_with_entry(R"("name":"a","status":"asleep","address":"b")"));
 
-  EXPECT_EQ(error.what, ListFault::UnknownStatus);
-  EXPECT_EQ(error.where, "asleep");
+  EXPECT_EQ(error.fault, ListFault::UnknownStatus);
+  EXPECT_EQ(error.detail, "asleep");
 }
 
-TEST(EndpointListParser, ThrowsTheErrorToReadersOfSettings) {
+TEST(EndpointListParser, ThrowsTheErrorWhereSettingsAreRead) {
   simdjson::dom::parser parser;
   simdjson::dom::element list = parser.parse(std::string(R"({"index":1})"));
 
@@ -103,7 +103,7 @@
     parse_endpoint_list_or_throw(list);
     FAIL() << "no exception";
   } catch (const Malformed& error) {
-    EXPECT_STREQ(error.what(), "a list has no endpoints");
+    EXPECT_STREQ(error.what(), "the list lacks the field \"endpoints\"");
   }
 }
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr double kTimeoutCheckSeconds = 0.05;
-// Of a list that stops between two of its lines no more is expected after this.
+// A pretty-printed list that stops at the end of a line counts as cut off if nothing follows within this
+// time.
 constexpr double kCutOffTimeoutSeconds = 0.5;
 constexpr std::size_t kMaxUnreadBodyBytes = 8 << 20;
 constexpr double kNoTimeout = std::numeric_limits<double>::infinity();
@@ -29,11 +30,13 @@
         {State::Watching, Event::AddressChanged, State::Connecting, &DiscoveryWatch::connect},
         {State::Connecting, Event::Connected, State::AwaitingResponse, &DiscoveryWatch::send_request},
         {State::Connecting, Event::TimedOut, State::Connecting, &DiscoveryWatch::connect},
-        {State::Connecting, Event::CallEnded, State::BackingOff, &DiscoveryWatch::back_off_unanswered},
+        {State::Connecting, Event::CallEnded, State::BackingOff,
+         &DiscoveryWatch::back_off_after_unanswered_call},
         {State::AwaitingResponse, Event::ResponseReceived, State::Watching, &DiscoveryWatch::start_watching},
         {State::AwaitingResponse, Event::TimedOut, State::BackingOff,
          &DiscoveryWatch::back_off_after_timeout},
-        {State::AwaitingResponse, Event::CallEnded, State::BackingOff, &DiscoveryWatch::back_off_unanswered},
+        {State::AwaitingResponse, Event::CallEnded, State::BackingOff,
+         &DiscoveryWatch::back_off_after_unanswered_call},
         {State::AwaitingResponse, Event::ListRejected, State::BackingOff,
          &DiscoveryWatch::back_off_and_resync},
         {State::Watching, Event::TimedOut, State::Connecting, &DiscoveryWatch::renew_call},
@@ -95,9 +98,9 @@
 
 void DiscoveryWatch::start_watching() {
   backoff_.on_call_answered(loop_.now());
-  // A call for changes is renewed a fixed time after it was sent, not after its answer.
+  // In pushed mode a call for changes is renewed a fixed time after it was sent, not after it was answered.
   if (is_pushed() && asks_for_changes()) return;
-  timeouts_.on_answer(loop_.now() - timeout_from_s_);
+  timeouts_.record_response_time(loop_.now() - timeout_started_at_s_);
   restart_timeout();
 }
 
@@ -105,9 +108,9 @@
   if (is_pushed()) {
     if (lines_.has_partial_list()) {
       timeouts_.on_list_late_for_renewal();
-    } else if (asks_for_changes() && !cursor_.has_call_line()) {
-      // The head of the response without a line: nothing had changed when the call was sent.
-      starts_.on_unchanged(timeout_from_s_);
+    } else if (asks_for_changes() && !cursor_.has_received_line()) {
+      // A response head without any line: nothing had changed when the call was sent.
+      starts_.on_unchanged(timeout_started_at_s_);
     }
   }
   connect();
@@ -118,17 +121,17 @@
   double now = loop_.now();
   backoff_ends_at_s_ = now + backoff_.next_delay_s(now);
   loop_.at(backoff_ends_at_s_, alive_.guard([this, ends_at_s = backoff_ends_at_s_] {
-    // A change of address may have ended that delay, and another one may run.
+    // A change of address may have cut this delay short, and a later one may be running.
     if (ends_at_s == backoff_ends_at_s_) apply(Event::BackoffElapsed);
   }));
 }
 
-void DiscoveryWatch::back_off_unanswered() {
+void DiscoveryWatch::back_off_after_unanswered_call() {
   cursor_.on_call_unanswered();
   back_off();
 }
 
-// A list that can't be read may have changed anything.
+// A rejected list may have contained any changes, so the next call asks for all endpoints.
 void DiscoveryWatch::back_off_and_resync() {
   cursor_.reset();
   back_off();
@@ -140,8 +143,8 @@
   } else {
     cursor_.on_call_unanswered();
   }
-  // A silent agent sends what it has to whoever is connected once it can, and that counts as told from then
-  // on: the next call must be there.
+  // An agent that was unresponsive sends its changes to the calls that are open when it recovers, and then
+  // considers them delivered. So the next call must be open by then.
   if (is_pushed()) {
     apply(Event::BackoffElapsed);
   } else {
@@ -152,7 +155,7 @@
 void DiscoveryWatch::on_received(std::string_view bytes) {
   last_bytes_at_s_ = loop_.now();
   response_.feed(bytes);
-  if (std::optional<CallFailed> failure = response_failure()) return on_poll_result(*failure);
+  if (std::optional<CallFailed> failure = response_failure()) return on_call_outcome(*failure);
   if (response_.in_body() || response_.is_complete()) on_response_body();
   dispatch_lines();
   if (is_receiving()) on_bytes_processed();
@@ -172,7 +175,7 @@
   lines_.append(response_.take_body_text());
 }
 
-// Once for each call: the date is of when the response began.
+// Uses only the first read of a response, as the date is that of its beginning.
 void DiscoveryWatch::record_date() {
   if (date_offset_s_) return;
   std::optional<double> date_s = parse_http_date(response_.message().header("Date"));
@@ -186,13 +189,13 @@
     if (is_blank(*line)) {
       on_blank_line();
     } else {
-      on_poll_result(cursor_.on_line(*line, loop_.now()));
+      on_call_outcome(cursor_.on_line(*line, loop_.now()));
     }
   }
 }
 
 void DiscoveryWatch::on_bytes_processed() {
-  if (lines_.exceeds_size_limit()) return on_poll_result(ListError{ListFault::TooLong, ""});
+  if (lines_.exceeds_size_limit()) return on_call_outcome(ListError{ListFault::TooLong, ""});
   if (response_.is_complete()) return apply(Event::CallEnded);
   if (lines_.ends_inside_list()) reject_list_if_cut_off();
 }
@@ -200,15 +203,15 @@
 void DiscoveryWatch::reject_list_if_cut_off() {
   loop_.at(last_bytes_at_s_ + kCutOffTimeoutSeconds, alive_.guard([this, bytes_at_s = last_bytes_at_s_] {
     bool is_cut_off = bytes_at_s == last_bytes_at_s_ && lines_.ends_inside_list();
-    if (is_cut_off) on_poll_result(ListError{ListFault::CutOff, ""});
+    if (is_cut_off) on_call_outcome(ListError{ListFault::CutOff, ""});
   }));
 }
 
-void DiscoveryWatch::on_poll_result(PollResult result) {
-  if (EndpointList* list = std::get_if<EndpointList>(&result)) return on_list(*list);
-  if (std::holds_alternative<ListUnchanged>(result)) return on_unchanged();
-  if (CallFailed* failure = std::get_if<CallFailed>(&result)) return on_call_failed(*failure);
-  on_list_rejected(std::get<ListError>(result));
+void DiscoveryWatch::on_call_outcome(CallOutcome outcome) {
+  if (EndpointList* list = std::get_if<EndpointList>(&outcome)) return on_list(*list);
+  if (std::holds_alternative<ListUnchanged>(outcome)) return on_unchanged();
+  if (CallFailed* failure = std::get_if<CallFailed>(&outcome)) return on_call_failed(*failure);
+  on_list_rejected(std::get<ListError>(outcome));
 }
 
 void DiscoveryWatch::on_list(EndpointList& list) {
@@ -217,24 +220,24 @@
   list.received_at_s = loop_.now();
   starts_.on_list(list, ClockOffsets{Loop::unix_offset(), date_offset_s_});
   owner_.on_endpoint_list(list);
-  on_answer();
+  on_response_received();
 }
 
 void DiscoveryWatch::on_unchanged() {
   is_fault_logged_ = false;
   starts_.on_unchanged(loop_.now());
-  on_answer();
+  on_response_received();
 }
 
-// Only whole lines show that discovery is alive. A blank one does where asking is work, unless all endpoints
-// were asked for.
+// Only complete lines show that discovery is alive. In on-request mode a blank line does so too, except as
+// the first line of the response to a call for all endpoints, which has to be a list.
 void DiscoveryWatch::on_blank_line() {
   bool is_answer = !is_pushed() && (state_ == State::Watching || cursor_.holds_list());
   if (is_answer || state_ == State::Watching) starts_.on_unchanged(loop_.now());
-  if (is_answer) on_answer();
+  if (is_answer) on_response_received();
 }
 
-void DiscoveryWatch::on_answer() {
+void DiscoveryWatch::on_response_received() {
   apply(Event::ResponseReceived);
   if (!is_pushed()) restart_timeout();
 }
@@ -251,18 +254,18 @@
   apply(Event::ListRejected);
 }
 
-// A check that is late itself comes after what the sockets hold by then, so a stall of this process is not
-// taken for silence of discovery.
+// If this process has stalled, the loop handles the bytes that wait in the sockets before this late timer, so
+// the stall isn't mistaken for silence of discovery.
 void DiscoveryWatch::check_timeout() {
-  if (loop_.now() - timeout_from_s_ > timeout_s()) apply(Event::TimedOut);
+  if (loop_.now() - timeout_started_at_s_ > timeout_s()) apply(Event::TimedOut);
   loop_.at(loop_.now() + kTimeoutCheckSeconds, alive_.guard([this] { check_timeout(); }));
 }
 
 double DiscoveryWatch::timeout_s() const {
   switch (state_) {
-    case State::Connecting: return timeouts_.connect_s();
-    case State::AwaitingResponse: return timeouts_.response_s(progress());
-    case State::Watching: return timeouts_.watch_s(progress());
+    case State::Connecting: return timeouts_.connect_timeout_s();
+    case State::AwaitingResponse: return timeouts_.response_timeout_s(progress());
+    case State::Watching: return timeouts_.watch_timeout_s(progress());
     case State::BackingOff:
     case State::Closed: return kNoTimeout;
   }
@@ -273,8 +276,8 @@
   CallProgress progress;
   progress.scope = cursor_.call_scope();
   progress.has_partial_list = lines_.has_partial_list();
-  progress.has_full_list = cursor_.full_list_at() >= timeout_from_s_;
-  progress.last_bytes_after_s = std::max(0.0, last_bytes_at_s_ - timeout_from_s_);
+  progress.has_full_list = cursor_.full_list_at() >= timeout_started_at_s_;
+  progress.last_bytes_after_s = std::max(0.0, last_bytes_at_s_ - timeout_started_at_s_);
   return progress;
 }
 
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,6 +1,7 @@
-// The standing watch on the discovery service: opens calls, times them out and reports lists to its owner.
-// What a line means is ListCursor's, how long a call may take CallTimeouts', how long to wait before the next
-// CallBackoff's, start times EndpointStartTimes'.
+// A continuous watch on the discovery service: makes calls, times them out and reports lists to its owner.
+// A call is one HTTP request whose response is a stream of lists, one per line, and blank lines while nothing
+// changes. ListCursor interprets the lines, CallTimeouts has the timeouts, CallBackoff the delays between
+// calls, and EndpointStartTimes the start times of endpoints.
 #pragma once
 
 #include <cstdint>
@@ -20,36 +21,37 @@
 
 namespace puffinvane {
 
-// Follows the endpoint list. A call that ends, is silent or can't be read is followed by another one. In
-// pushed mode changes are also asked for anew all the time, so that neither a watch that goes on without its
-// lists nor a broken one that looks quiet delays a change. Owned by the proxy of a pool, on the event loop's
-// thread. Errors are logged (discovery.call_failed, discovery.list_rejected), once until a list is received,
-// and leave the list in force as it is.
+// Keeps the endpoint list up to date. A call that ends, times out or has an invalid response is followed by
+// another one. In pushed mode each call is also replaced by a new one periodically, so that a change is
+// received in time even if a watch is alive but no longer sends lists, or is broken but looks idle. Owned by
+// the proxy of a pool, on the event loop's thread. An error (discovery.call_failed, discovery.list_rejected)
+// is logged unless one was already logged since the last valid list, and the current list stays in force.
 class DiscoveryWatch final : TcpConnection::Owner {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    // A list that differs from the last one, with start times. The watch may be closed from here, not
-    // destroyed.
+    // A new list, with start times. The owner may close the watch in this call, but not destroy it.
     virtual void on_endpoint_list(const EndpointList& list) = 0;
   };
 
   struct Options {
     std::string address;          // "127.0.0.1:5000"
-    std::int64_t held_index = 0;  // of a list from before; 0: none
+    std::int64_t held_index = 0;  // of a list from an earlier run or the predecessor; 0: none
     DiscoveryMode mode = DiscoveryMode::Pushed;
     std::uint64_t backoff_seed = 0;
   };
 
-  // starts: of the endpoints that this discovery lists. Loop, owner and starts outlive the watch.
+  // `starts` has the start times of the endpoints that this discovery service lists. The loop, the owner and
+  // `starts` must outlive the watch.
   DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& starts, const Options& options);
 
-  // Opens the first call. Called once.
+  // Begins the first call. To be called once.
   void start();
-  // Discovery has moved: what is held stays in force, and what came since is asked for at the new address.
+  // Discovery has moved to another address, where the next call goes at once. The current list stays in
+  // force.
   void change_address(const std::string& address);
-  // Ends the call; nothing is reported any more.
+  // Ends the current call. Nothing is reported after that.
   void close();
   bool has_received_list() const { return has_received_list_; }
 
@@ -72,7 +74,7 @@
   void start_watching();
   void renew_call();
   void back_off();
-  void back_off_unanswered();
+  void back_off_after_unanswered_call();
   void back_off_and_resync();
   void back_off_after_timeout();
 
@@ -80,13 +82,13 @@
   void on_received(std::string_view bytes) override;
   void on_ended(TcpConnection::End) override { apply(Event::CallEnded); }
   void on_response_body();
-  void on_poll_result(PollResult result);
+  void on_call_outcome(CallOutcome outcome);
   void on_list(EndpointList& list);
   void on_unchanged();
   void on_blank_line();
   void on_call_failed(const CallFailed& failure);
   void on_list_rejected(const ListError& error);
-  void on_answer();
+  void on_response_received();
   void on_bytes_processed();
 
   std::optional<CallFailed> response_failure() const;
@@ -94,7 +96,7 @@
   void record_date();
   void reject_list_if_cut_off();
   void check_timeout();
-  void restart_timeout() { timeout_from_s_ = loop_.now(); }
+  void restart_timeout() { timeout_started_at_s_ = loop_.now(); }
   double timeout_s() const;
   CallProgress progress() const;
   bool is_receiving() const { return state_ == State::AwaitingResponse || state_ == State::Watching; }
@@ -113,12 +115,13 @@
   HttpReader response_;
   ListSplitter lines_;
   State state_ = State::BackingOff;
-  double timeout_from_s_ = 0;  // when the state began, or when a watch's last line came
+  // When the state was entered or, in on-request mode, the last line was received.
+  double timeout_started_at_s_ = 0;
   double last_bytes_at_s_ = 0;
   double backoff_ends_at_s_ = 0;
-  std::optional<double> date_offset_s_;  // Unix time less the monotonic clock, by the response's date
+  std::optional<double> date_offset_s_;  // Unix time by the Date header minus monotonic time
   bool has_received_list_ = false;
-  bool is_fault_logged_ = false;  // since the last list
+  bool is_fault_logged_ = false;  // since the last valid list
   LifetimeToken alive_;
 };
 
--- a/src/discovery/discovery_watch_backoff_test.cpp
+++ b/src/discovery/discovery_watch_backoff_test.cpp
@@ -1,4 +1,4 @@
-// How often the watch calls a discovery that is one for all and refuses calls.
+// How often the watch calls a discovery service that is shared by all instances and refuses calls.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -11,7 +11,8 @@
 
 using namespace test;
 
-// Called again at once by every watch, discovery would have more to refuse than it can, and answer nobody.
+// Without backoff all watches would call again at once. Refusing their calls would take all of discovery's
+// time, and no call would be answered.
 TEST(DiscoveryWatchBackoff, ReceivesTheListWithinSixSecondsAfterAllWatchesAreReset) {
   QueueingDiscovery discovery({.answer_s = 0.2, .refusal_s = 0.04});
   EventLoop events(256);
@@ -30,11 +31,12 @@
     EXPECT_GT(owner.received_at_s().back(), reset_at);
     EXPECT_LT(owner.received_at_s().back(), reset_at + 6);
   }
-  EXPECT_GT(discovery.refused_count(), 0);  // else it was never overloaded
+  EXPECT_GT(discovery.refused_count(), 0);  // discovery was overloaded
 }
 
-// The watch also goes on often enough to notice in time that discovery answers again.
-TEST(DiscoveryWatchBackoff, CallsLessOftenAndGoesOnWhileRefused) {
+// The watch backs off while its calls are refused, but still calls often enough to notice in time when
+// discovery answers again.
+TEST(DiscoveryWatchBackoff, CallsLessOftenButKeepsCallingWhileRefused) {
   QueueingDiscovery discovery({.answer_s = 0, .refusal_s = 0, .max_queue_s = -1});
   EventLoop events;
   WatchOwner owner(events.loop(), discovery.address(), 5, DiscoveryMode::OnRequest);
--- a/src/discovery/discovery_watch_start_times_test.cpp
+++ b/src/discovery/discovery_watch_start_times_test.cpp
@@ -1,4 +1,4 @@
-// Start times that the watch reports while the wall clock of this machine is ahead of discovery's.
+// The start times that the watch reports if this machine's wall clock is ahead of discovery's.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 using namespace test;
 
-// Unix time by a clock that this machine's is so many seconds ahead of.
+// Unix time by a clock that is `wall_clock_ahead_s` behind this machine's wall clock.
 double unix_time(double wall_clock_ahead_s) {
   auto wall_time = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration<double>(wall_time).count() - wall_clock_ahead_s;
@@ -34,9 +34,9 @@
   return head.insert(head.find("\r\n") + 2, std::string("Date: ") + date + "\r\n");
 }
 
-// The blank lines of a quiet watch say that nothing has started. By the wall clock alone, the endpoint that
-// starts after them would have started long before.
-TEST(DiscoveryWatchStartTimes, PutsAStartAfterTheLastBlankLineOfAQuietWatch) {
+// The blank lines of an idle watch confirm that no endpoint has started. By the wrong wall clock alone, an
+// endpoint that starts after the last of them would seem to have started before it.
+TEST(DiscoveryWatchStartTimes, PutsAStartAfterTheLastBlankLineOfAnIdleWatch) {
   constexpr double kWallClockAheadSeconds = 3;
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -60,9 +60,9 @@
   EXPECT_LE(owner.first_started_at_s(), owner.received_at_s().back());
 }
 
-// The wall clock is an hour ahead from the start, and the first list has a start of two seconds ago. The date
-// of the response is by the clock that the start is stated by.
-TEST(DiscoveryWatchStartTimes, TakesTheDateOfTheResponseInPlaceOfAWrongWallClock) {
+// The wall clock is an hour ahead from the beginning, and the first list states a start of two seconds ago.
+// The date of the response is by the same clock as the stated start.
+TEST(DiscoveryWatchStartTimes, UsesTheDateOfTheResponseInsteadOfAWrongWallClock) {
   constexpr double kWallClockAheadSeconds = 3600;
   constexpr double kAgeSeconds = 2;
   Listener discovery(kDiscoveryHost);
--- a/src/discovery/discovery_watch_test.cpp
+++ b/src/discovery/discovery_watch_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace test;
 
-// Runs a watch in pushed mode during the steps of a discovery, and returns how many lists it reported.
+// Runs a watch in pushed mode while `steps` act as discovery. Returns the number of lists that were reported.
 std::size_t count_lists(const std::function<void(Listener&)>& steps) {
   Listener discovery(kDiscoveryHost, 0);
   EventLoop events;
@@ -19,15 +19,15 @@
   return owner.received_at_s().size();
 }
 
-// The cost of following goes by what changes, not by the length of the list. What a watch sent after its
-// first line is asked for again, as nothing shows that it sent everything.
+// The cost of the watch depends on the number of changes, not on the length of the list. Changes received
+// after the first line of a call are requested again, as that call may have left some out.
 TEST(DiscoveryWatch, AsksForChangesAndForTheFullListOnlyAtTheStart) {
   const std::string no_changes = R"({"index":4,"snapshot":false,"endpoints":[]})"
                                  "\n";
 
   std::size_t list_count = count_lists([&](Listener& discovery) {
     EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(4))).ended());
-    EXPECT_TRUE(answer_call(discovery, "4", "").ended());  // its head says all
+    EXPECT_TRUE(answer_call(discovery, "4", "").ended());  // the head alone: no changes
     Line watch = answer_call(discovery, "4", chunk(no_changes));
     watch.say(chunk(change_line(6)));
     EXPECT_TRUE(watch.ended());
@@ -52,14 +52,14 @@
   EXPECT_EQ(list_count, 4u);
 }
 
-// Some discoveries answer each call with the full list.
-TEST(DiscoveryWatch, ReportsAFullListThatIsHeldOnlyAfterAChange) {
+// Some discovery services answer each call with the full list.
+TEST(DiscoveryWatch, ReportsTheSameFullListAgainOnlyAfterAChange) {
   std::size_t list_count = count_lists([](Listener& discovery) {
     EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(4))).ended());
     Line watch = answer_call(discovery, "4", chunk(snapshot_line(4)));
     watch.say(chunk(change_line(5)));
     EXPECT_TRUE(watch.ended());
-    answer_call(discovery, "4", chunk(snapshot_line(4)));  // takes the change back
+    answer_call(discovery, "4", chunk(snapshot_line(4)));  // reverts the change
   });
 
   EXPECT_EQ(list_count, 3u);
--- a/src/discovery/discovery_watch_timeouts_test.cpp
+++ b/src/discovery/discovery_watch_timeouts_test.cpp
@@ -1,4 +1,4 @@
-// How long the watch waits for a discovery that is silent, slow or can't be connected to.
+// How long the watch waits for a discovery service that is silent, slow or can't be connected to.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -12,10 +12,10 @@
 
 using namespace test;
 
-// After discovery had a change and could be reached.
+// From when discovery has a change and can be reached until the change is received.
 constexpr double kMaxChangeDelaySeconds = 6;
 
-// Sends a list in 12 pieces, one each 0.1 s, and leaves the call open for 0.3 s.
+// Sends a list in 12 pieces, one every 0.1 s, and keeps the call open for 0.3 s after the last one.
 void send_slowly(Line& call, const std::string& list) {
   std::size_t piece_size = list.size() / 12 + 1;
   for (std::size_t begin = 0; begin < list.size(); begin += piece_size) {
@@ -25,7 +25,8 @@
   call.ended(0.3);
 }
 
-// The list takes longer than a list usually may: cut at each timeout, it would never be received.
+// The list takes longer than the initial timeout. Without a longer timeout for the next call it would be cut
+// off each time and never be received.
 TEST(DiscoveryWatchTimeouts, ReceivesAListThatArrivesSlowly) {
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -35,7 +36,7 @@
     while (!is_over) {
       if (!discovery.connection_waits(0.1)) continue;
       Line call = discovery.take();
-      if (!call.hear(HttpReader::Side::Request)) continue;  // the test was over by then
+      if (!call.hear(HttpReader::Side::Request)) continue;  // the test has ended meanwhile
       call.say(kResponseHead);
       send_slowly(call, snapshot_line(1));
     }
@@ -48,7 +49,8 @@
   EXPECT_TRUE(is_received);
 }
 
-// A silent agent sends what it has the moment it can, and that counts as received by whoever is connected.
+// An agent that was unresponsive sends its changes to the calls that are open when it recovers, and considers
+// them delivered. A backoff could make the watch miss them.
 TEST(DiscoveryWatchTimeouts, OpensTheNextCallAtOnceAfterASilentOneInPushedMode) {
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -70,7 +72,7 @@
   EXPECT_FALSE(owner.received_at_s().empty());
 }
 
-TEST(DiscoveryWatchTimeouts, TakesBlankLinesForNoAnswerToACallForTheFullList) {
+TEST(DiscoveryWatchTimeouts, DoesNotAcceptBlankLinesAsAnswerToACallForTheFullList) {
   Listener discovery(kDiscoveryHost);
   EventLoop events;
   WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::OnRequest);
@@ -91,7 +93,8 @@
   EXPECT_LT(owner.received_at_s().front(), started_at + 3.3);
 }
 
-// On request: the watch falls silent, the next connection never comes up, and the call after that is silent.
+// On request: the watch falls silent, the next connection is never established, and the call after it is
+// silent.
 TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterASilentWatchALostConnectionAndASilentCall) {
   Listener discovery(kDiscoveryHost, 0);
   EventLoop events;
@@ -116,11 +119,11 @@
   EXPECT_LT(owner.received_at_s().back(), silent_since + kMaxChangeDelaySeconds);
 }
 
-// On request, after a move: the call waits for its turn for nearly as long as it may, and its list comes in
-// pieces. Given up amid the list, the next call would have to wait for its turn again.
-TEST(DiscoveryWatchTimeouts, ReceivesAListThatArrivesAfterALateTurnInTimeAfterAMove) {
+// On request, after discovery has moved: the call is queued for nearly the maximum time, and then its list
+// arrives in pieces. If the call timed out in the middle of the list, the next one would be queued again.
+TEST(DiscoveryWatchTimeouts, ReceivesAListInPiecesAfterALongQueueInTimeAfterAMove) {
   constexpr double kMaxDelayAfterMoveSeconds = 4;
-  constexpr double kTurnSeconds = 1.95;
+  constexpr double kQueueSeconds = 1.95;
   constexpr int kPieces = 5;
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -130,7 +133,7 @@
   events.run_beside(
       [&] {
         Line call = take_call(discovery);
-        call.ended(kTurnSeconds);
+        call.ended(kQueueSeconds);
         call.say(kResponseHead);
         const std::string list = snapshot_line(1);
         const std::size_t piece_size = list.size() / kPieces + 1;
@@ -147,9 +150,9 @@
   EXPECT_LT(owner.received_at_s().front(), moved_at + kMaxDelayAfterMoveSeconds);
 }
 
-// Pushed mode: a watch that goes on without its lists, a connection that never comes up, a call of which only
-// the head comes, another connection that never comes up, and a silent call.
-TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterACallOfWhichOnlyTheHeadCame) {
+// Pushed mode: a watch that no longer sends lists, a connection that is never established, a call that gets
+// only the response head, another connection that is never established, and a silent call.
+TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterACallWithOnlyAResponseHead) {
   Listener discovery(kDiscoveryHost, 0);
   EventLoop events;
   WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::Pushed);
--- a/src/discovery/endpoint_start_times.cpp
+++ b/src/discovery/endpoint_start_times.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-// An HTTP date has whole seconds and takes time to arrive. A wall clock within these limits of it is taken
-// instead, as the finer of the two.
+// An HTTP date is truncated to seconds and arrives with a delay. If this machine's wall clock agrees with it
+// within these limits, the wall clock is used, as it is more precise.
 constexpr double kMaxWallBehindDateSeconds = 0.5;
 constexpr double kMaxWallAheadOfDateSeconds = 2.5;
-// Two readings of a wall clock that nobody steps differ by less: a stall between reading it and reading the
-// monotonic clock.
+// A larger change of the offset between the clocks is taken for a step of the wall clock. Smaller changes
+// occur if the process stalls between reading the two clocks.
 constexpr double kMinClockStepSeconds = 0.5;
-// Discovery lists a change up to this late. A start stated longer than that before its last message without
-// it shows a wrong clock.
+// Discovery lists a change with up to this delay. If a start is stated to be earlier than discovery's last
+// message without it by more than this, a clock is wrong.
 constexpr double kMaxListDelaySeconds = 6;
-// A stated time inside bounds no further apart than this shows that the clocks agree. A quiet watch has a
+// A stated time within bounds closer together than this shows that the clocks agree. An idle watch receives a
 // line every 2 s.
 constexpr double kNarrowBoundsSeconds = 2.5;
 
@@ -26,13 +26,13 @@
 }  // namespace
 
 void EndpointStartTimes::on_list(EndpointList& list, const ClockOffsets& offsets) {
-  double offset_s = offset_of_stamps(list, list.received_at_s, offsets);
-  Bounds known_names;
-  known_names.absent_until_s = last_message_at_s_.value_or(known_names.absent_until_s);
-  known_names.received_at_s = list.received_at_s;
-  Bounds new_names{absent_until(list), list.received_at_s};
-  set_start_times(list, known_names, new_names, offset_s);
-  if (list.is_snapshot) unlist_missing();
+  double offset_s = stated_clock_offset(list, list.received_at_s, offsets);
+  Bounds known_bounds;
+  known_bounds.absent_until_s = last_message_at_s_.value_or(known_bounds.absent_until_s);
+  known_bounds.received_at_s = list.received_at_s;
+  Bounds new_bounds{absent_until(list), list.received_at_s};
+  set_start_times(list, known_bounds, new_bounds, offset_s);
+  if (list.is_snapshot) mark_missing_unlisted();
   erase_oldest_unlisted();
   last_message_at_s_ = list.received_at_s;
   is_source_changed_ = false;
@@ -43,14 +43,14 @@
 }
 
 void EndpointStartTimes::set_cached_start_times(EndpointList& list, double now, const ClockOffsets& offsets) {
-  double offset_s = offset_of_stamps(list, now, offsets);
+  double offset_s = stated_clock_offset(list, now, offsets);
   Bounds unbounded;
   unbounded.received_at_s = now;
   ++list_number_;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry& entry = list.entries[i];
     entry.online_since_s =
-        start_time_of(starts_[entry.endpoint], list.stated_start_ms[i], unbounded, offset_s);
+        update_start_time(starts_[entry.endpoint], list.stated_start_ms[i], unbounded, offset_s);
   }
 }
 
@@ -76,22 +76,22 @@
   list.has_start_times = true;
 }
 
-// An entry that a list repeats is a known name the second time.
-void EndpointStartTimes::set_start_times(EndpointList& list, const Bounds& known_names,
-                                         const Bounds& new_names, double offset_s) {
+// If a list repeats an entry, the second one counts as a known endpoint.
+void EndpointStartTimes::set_start_times(EndpointList& list, const Bounds& known_bounds,
+                                         const Bounds& new_bounds, double offset_s) {
   ++list_number_;
   for (std::size_t i = 0; i < list.entries.size(); ++i) {
     ListEntry& entry = list.entries[i];
-    const Bounds& bounds = starts_.contains(entry.endpoint) ? known_names : new_names;
+    const Bounds& bounds = starts_.contains(entry.endpoint) ? known_bounds : new_bounds;
     Start& start = starts_[entry.endpoint];
-    entry.online_since_s = start_time_of(start, list.stated_start_ms[i], bounds, offset_s);
-    if (entry.state == ListedState::Removed) unlist(entry.endpoint, start);
+    entry.online_since_s = update_start_time(start, list.stated_start_ms[i], bounds, offset_s);
+    if (entry.state == ListedState::Removed) mark_unlisted(entry.endpoint, start);
   }
 }
 
-// The date of discovery's response comes from the clock that the stamps come from, and takes precedence over
-// the wall clock of this machine where the two disagree.
-double EndpointStartTimes::select_offset(const ClockOffsets& offsets) {
+// The date of discovery's response is by the same clock as the stated start times, so it takes precedence
+// over this machine's wall clock if the two disagree.
+double EndpointStartTimes::select_clock_offset(const ClockOffsets& offsets) {
   double offset_s = offsets.wall_s;
   if (offsets.discovery_s) {
     double difference_s = offsets.wall_s - *offsets.discovery_s;
@@ -99,18 +99,18 @@
     if (!agrees) offset_s = *offsets.discovery_s;
   }
   if (last_offset_s_ && std::abs(offset_s - *last_offset_s_) > kMinClockStepSeconds) {
-    are_clocks_doubted_ = true;
+    are_clocks_untrusted_ = true;
   }
   last_offset_s_ = offset_s;
   return offset_s;
 }
 
-// What to subtract from a stated time, in seconds, to get the monotonic clock's. If most starts would lie in
-// the future, the clock is behind: then the newest start is taken to be now, and the distances of the others
-// to it hold by any clock.
-double EndpointStartTimes::offset_of_stamps(const EndpointList& list, double received_at_s,
-                                            const ClockOffsets& offsets) {
-  double offset_s = select_offset(offsets);
+// The offset in seconds to subtract from a stated Unix time to get monotonic time. If most of the starts
+// would be in the future, the wall clock is behind. Then the newest start is assumed to be now; the intervals
+// between the starts are valid by any clock.
+double EndpointStartTimes::stated_clock_offset(const EndpointList& list, double received_at_s,
+                                               const ClockOffsets& offsets) {
+  double offset_s = select_clock_offset(offsets);
   std::size_t stated_count = 0;
   std::size_t future_count = 0;
   double newest_s = 0;
@@ -124,10 +124,10 @@
   return 2 * future_count > stated_count ? newest_s - received_at_s : offset_s;
 }
 
-// A start that is stated again keeps its time. A delayed list may state the previous start again, or none:
-// no start goes back.
-double EndpointStartTimes::start_time_of(Start& start, double stated_ms, const Bounds& bounds,
-                                         double offset_s) {
+// A start that is stated again keeps its time. If a delayed list states the previous start, or none, the
+// later start is kept.
+double EndpointStartTimes::update_start_time(Start& start, double stated_ms, const Bounds& bounds,
+                                             double offset_s) {
   start.last_list_number = list_number_;
   start.is_listed = true;
   bool is_known = stated_ms <= 0 || stated_ms == start.stated_ms || stated_ms == start.previous_stated_ms;
@@ -139,23 +139,24 @@
   return start.started_at_s;
 }
 
-// A stated time outside of its bounds counts as the nearer bound, as discovery may list a start some seconds
-// late. While the clocks are doubted the latest time within the bounds is taken: an endpoint taken for older
-// than it is would get too much load.
+// A stated time outside of its bounds is replaced by the nearer bound, as discovery may list a start some
+// seconds late. While the clocks are untrusted the later bound is used: an endpoint believed to be older than
+// it is would get too much load.
 double EndpointStartTimes::clamp_to_bounds(double stated_s, const Bounds& bounds) {
   if (std::isinf(bounds.absent_until_s)) return std::min(stated_s, bounds.received_at_s);
   bool is_too_early = stated_s < bounds.absent_until_s - kMaxListDelaySeconds;
   bool is_too_late = stated_s > bounds.received_at_s + kMinClockStepSeconds;
-  if (is_too_early || is_too_late) are_clocks_doubted_ = true;
+  if (is_too_early || is_too_late) are_clocks_untrusted_ = true;
   double clamped_s = std::clamp(stated_s, bounds.absent_until_s, bounds.received_at_s);
-  double started_at_s = are_clocks_doubted_ ? bounds.received_at_s : clamped_s;
+  double started_at_s = are_clocks_untrusted_ ? bounds.received_at_s : clamped_s;
   bool is_narrow = bounds.received_at_s - bounds.absent_until_s < kNarrowBoundsSeconds;
-  if (clamped_s == stated_s && is_narrow) are_clocks_doubted_ = false;
+  if (clamped_s == stated_s && is_narrow) are_clocks_untrusted_ = false;
   return started_at_s;
 }
 
-// Until when names that were not listed before are known not to have started. Another discovery may list
-// endpoints that have run for long: only where at least half of its names are known are the others new.
+// The earliest possible start of endpoints that are listed for the first time: discovery's last message.
+// Another discovery service may list endpoints that have run for long, so after a change of the source this
+// holds only if at least half of the listed endpoints are known.
 double EndpointStartTimes::absent_until(const EndpointList& list) const {
   if (!last_message_at_s_) return Bounds().absent_until_s;
   if (!is_source_changed_) return *last_message_at_s_;
@@ -165,13 +166,13 @@
   return are_mostly_known ? *last_message_at_s_ : Bounds().absent_until_s;
 }
 
-void EndpointStartTimes::unlist_missing() {
+void EndpointStartTimes::mark_missing_unlisted() {
   for (auto& [name, start] : starts_) {
-    if (start.is_listed && start.last_list_number != list_number_) unlist(name, start);
+    if (start.is_listed && start.last_list_number != list_number_) mark_unlisted(name, start);
   }
 }
 
-void EndpointStartTimes::unlist(const std::string& name, Start& start) {
+void EndpointStartTimes::mark_unlisted(const std::string& name, Start& start) {
   start.is_listed = false;
   unlisted_.push_back(name);
 }
--- a/src/discovery/endpoint_start_times_clock_test.cpp
+++ b/src/discovery/endpoint_start_times_clock_test.cpp
@@ -1,4 +1,4 @@
-// Start times by a wall clock that is wrong or is stepped. Times are the monotonic clock's.
+// Start times if the wall clock is wrong or is stepped. All times are monotonic.
 #include <gtest/gtest.h>
 
 #include "src/discovery/endpoint_start_times.h"
@@ -9,7 +9,7 @@
 
 using namespace test;
 
-TEST(EndpointStartTimesClock, PutsANewStartBetweenTheListsThatShowIt) {
+TEST(EndpointStartTimesClock, PutsANewStartBetweenTheListsWithoutAndWithIt) {
   for (double error : kWallClockErrors) {
     for (const char* name : {"a", "new"}) {  // started again, or listed for the first time
       SCOPED_TRACE(error);
@@ -38,11 +38,11 @@
     for (double received_at : {104.5, 106.0, 108.0}) {
       EXPECT_EQ(first_start_time(starts, received_at, {started_again}, step), started);
     }
-    EXPECT_EQ(first_start_time(starts, 110, {started_again}), started);  // the clock is stepped back
+    EXPECT_EQ(first_start_time(starts, 110, {started_again}), started);  // the step is undone
   }
 }
 
-TEST(EndpointStartTimesClock, KeepsAStartOfAnEndpointThatWasLeftOutForAWhile) {
+TEST(EndpointStartTimesClock, KeepsTheStartOfAnEndpointThatWasUnlistedForAWhile) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
     EndpointStartTimes starts;
@@ -61,9 +61,9 @@
   }
 }
 
-// Without these messages a clock that is ahead by less than the quiet time would shorten each slow start by
-// as much.
-TEST(EndpointStartTimesClock, BoundsTheNextStartByMessagesThatNothingChanged) {
+// Without these messages, a clock that is ahead by less than the idle time would make each new endpoint seem
+// older than it is and shorten its slow start by that error.
+TEST(EndpointStartTimesClock, BoundsTheNextStartByMessagesWithoutChanges) {
   EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 5);
   for (double received_at = 102; received_at <= 200; received_at += 2) starts.on_unchanged(received_at);
@@ -73,9 +73,9 @@
   EXPECT_GE(started, 200);
 }
 
-// The clock is stepped between two of discovery's messages: what it says of a start is not believed, also
-// where it happens to lie within the bounds.
-TEST(EndpointStartTimesClock, TakesTheLatestTimeAfterAStepDuringASilence) {
+// The clock is stepped between two of discovery's messages, so the stated time isn't trusted, even if it
+// happens to be within the bounds.
+TEST(EndpointStartTimesClock, UsesTheLatestPossibleTimeAfterAClockStepDuringASilence) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
     EndpointStartTimes starts;
@@ -87,8 +87,8 @@
   }
 }
 
-// No step is seen: the clock is wrong from the start.
-TEST(EndpointStartTimesClock, TakesTheLatestTimeOfAStartThatIsStatedLongBeforeItsBounds) {
+// The clock is wrong from the beginning, so no step is observed.
+TEST(EndpointStartTimesClock, UsesTheLatestPossibleTimeForAStartStatedLongBeforeItsBounds) {
   EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 3600);
 
@@ -116,8 +116,8 @@
   }
 }
 
-// The others are placed by their distance from the newest, which no clock changes.
-TEST(EndpointStartTimesClock, PutsTheNewestStartAtNowWhereTheClockIsBehind) {
+// The other starts keep their intervals to the newest one, which don't depend on the clock.
+TEST(EndpointStartTimesClock, PutsTheNewestStartAtNowIfTheClockIsBehind) {
   EndpointStartTimes starts;
 
   std::vector<double> started = start_times(
@@ -135,7 +135,7 @@
   EndpointStartTimes starts;
 
   std::vector<double> started =
-      start_times(starts, snapshot_at(100, {endpoint("spoilt").started_at(1e9), endpoint("a").started_at(40),
+      start_times(starts, snapshot_at(100, {endpoint("future").started_at(1e9), endpoint("a").started_at(40),
                                             endpoint("b").started_at(50)}));
 
   EXPECT_EQ(started[0], 100);
@@ -143,13 +143,13 @@
   EXPECT_THAT(started[2], about(50));
 }
 
-// The clock was wrong before the process started, and its first list has a start of a moment ago.
-TEST(EndpointStartTimesClock, TakesTheDateOfTheResponseWhereTheWallClockDisagrees) {
+// The clock was wrong before the process started, and the first list has a start of a moment ago.
+TEST(EndpointStartTimesClock, UsesTheDateOfTheResponseIfTheWallClockDisagrees) {
   for (double error : kWallClockErrors) {
     SCOPED_TRACE(error);
     EndpointStartTimes starts;
     ClockOffsets offsets = wall_clock_ahead_by(error);
-    offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;  // in whole seconds
+    offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;  // truncated to whole seconds
 
     std::vector<double> started =
         start_times(starts, snapshot_at(100, {endpoint("a"), endpoint("fresh").started_at(98)}), offsets);
@@ -159,8 +159,8 @@
   }
 }
 
-// The wall clock is the finer of the two.
-TEST(EndpointStartTimesClock, TakesTheWallClockWhereTheDateAgrees) {
+// The wall clock is more precise than the date.
+TEST(EndpointStartTimesClock, UsesTheWallClockIfTheDateAgrees) {
   EndpointStartTimes starts;
   ClockOffsets offsets = right_wall_clock();
   offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;
@@ -171,9 +171,9 @@
   EXPECT_THAT(started.front(), about(98));
 }
 
-TEST(HttpDate, IsReadAsUnixTime) { EXPECT_EQ(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT"), 1.7e9); }
+TEST(HttpDate, IsParsedAsUnixTime) { EXPECT_EQ(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT"), 1.7e9); }
 
-TEST(HttpDate, IsNoneForOtherText) {
+TEST(HttpDate, IsRejectedIfInvalid) {
   EXPECT_FALSE(parse_http_date(""));
   EXPECT_FALSE(parse_http_date("yesterday"));
   EXPECT_FALSE(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT+1"));
--- a/src/discovery/endpoint_start_times_test.cpp
+++ b/src/discovery/endpoint_start_times_test.cpp
@@ -1,5 +1,5 @@
-// Start times by a right wall clock: starts that are repeated, listed late or by another discovery, and what
-// a successor gets of them.
+// Start times with a correct wall clock: starts that are repeated, listed late or listed by another discovery
+// service, and their export to a successor.
 #include "src/discovery/endpoint_start_times.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 using namespace test;
 
-TEST(EndpointStartTimes, TakesStatedTimesWithARightClock) {
+TEST(EndpointStartTimes, UsesStatedTimesIfTheClockIsCorrect) {
   EndpointStartTimes starts;
 
   std::vector<double> started = start_times(
@@ -25,7 +25,7 @@
   EXPECT_THAT(started[2], about(99));
 }
 
-TEST(EndpointStartTimes, TakesAStatedTimeWithinTheBoundsOfASilence) {
+TEST(EndpointStartTimes, UsesAStatedTimeWithinTheBoundsOfASilence) {
   EndpointStartTimes starts;
   start_times(starts, snapshot_at(100, {endpoint("old"), endpoint("warm").started_at(40),
                                         endpoint("fresh").started_at(99)}));
@@ -35,8 +35,9 @@
   EXPECT_THAT(started, about(107));
 }
 
-// Discovery lists a start late: the time of its last message without it is the earliest that no clock denies.
-TEST(EndpointStartTimes, PutsAStartListedLateAtItsEarlierBound) {
+// Discovery lists a start late: its stated time is before discovery's last message without it, which is the
+// earliest possible time by the monotonic clock.
+TEST(EndpointStartTimes, PutsAStartThatIsListedLateAtItsEarliestPossibleTime) {
   EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a")});
 
@@ -45,7 +46,7 @@
   EXPECT_EQ(started, 100);
 }
 
-TEST(EndpointStartTimes, DoubtsNoClockForAStartListedLate) {
+TEST(EndpointStartTimes, KeepsTrustingTheClockAfterAStartThatIsListedLate) {
   EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a")});
   first_start_time(starts, 101, {endpoint("a").started_at(99)});
@@ -55,9 +56,9 @@
   EXPECT_THAT(started, about(110));
 }
 
-// A process that starts with a right clock takes none of the endpoints of its first list for fresh that is
-// not.
-TEST(EndpointStartTimes, TakesStatedTimesOfACachedListAndOfTheFirstOne) {
+// A process that starts with a correct clock doesn't mistake long-running endpoints of its first list for new
+// ones.
+TEST(EndpointStartTimes, UsesStatedTimesOfACachedListAndOfTheFirstList) {
   EndpointStartTimes starts;
   EndpointList cached = snapshot_at(0, {endpoint("a").started_at(10), endpoint("b").started_at(20)});
 
@@ -83,7 +84,7 @@
   EXPECT_EQ(first_start_time(starts, 105, {endpoint("a").started_at(101)}), started);
 }
 
-TEST(EndpointStartTimes, TakesStatedTimesOfAnotherDiscoverysEndpoints) {
+TEST(EndpointStartTimes, UsesStatedTimesOfTheEndpointsOfAnotherDiscoveryService) {
   EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
 
@@ -95,7 +96,7 @@
   EXPECT_THAT(started[1], about(30));
 }
 
-TEST(EndpointStartTimes, BoundsNewNamesOfAnotherDiscoveryThatListsMostlyKnownOnes) {
+TEST(EndpointStartTimes, BoundsNewEndpointsOfAnotherDiscoveryServiceThatListsMostlyKnownOnes) {
   EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
   starts.on_source_changed();
@@ -126,17 +127,18 @@
   EXPECT_LE(starts.known_endpoint_count(), EndpointStartTimes::kMaxUnlistedEndpoints + 2);
 }
 
-// A successor takes over under slow start while the wall clock is stepped. Endpoints keep their starts, and
-// what starts meanwhile is bounded by the predecessor's last message.
-TEST(EndpointStartTimes, KeepsStartsWhenTheClockIsSteppedDuringAHandover) {
+// The wall clock is stepped during a hot restart while an endpoint is in slow start. Endpoints keep their
+// starts, and the start of an endpoint that starts meanwhile is bounded by discovery's last message to the
+// predecessor.
+TEST(EndpointStartTimes, KeepsStartsIfTheClockIsSteppedDuringAHotRestart) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
     EndpointStartTimes predecessor;
     first_start_time(predecessor, 100, {endpoint("a"), endpoint("b"), endpoint("c")});
     EndpointList list = snapshot_at(104, {endpoint("a").started_at(103), endpoint("b"), endpoint("c")});
     predecessor.on_list(list, right_wall_clock());
-    list.entries[1].online_since_s = 103.7;  // as ordered by an operator
-    list.received_at_s = 0;                  // as in a list that the proxy has put together
+    list.entries[1].online_since_s = 103.7;  // set by an operator's override
+    list.received_at_s = 0;                  // as in a list that the proxy has assembled
     predecessor.export_start_times(list);
 
     EndpointStartTimes successor;
--- a/src/discovery/list_cursor_test.cpp
+++ b/src/discovery/list_cursor_test.cpp
@@ -18,9 +18,9 @@
 std::string empty_snapshot(int index) { return list_line(index, "true", ""); }
 std::string change(int index) { return list_line(index, "false", one_endpoint()); }
 
-ListFault fault_of(const PollResult& result) { return std::get<ListError>(result).what; }
+ListFault fault_of(const CallOutcome& outcome) { return std::get<ListError>(outcome).fault; }
 
-// Has a full list of that index, of a call that is over.
+// A cursor that has received a full list with that index.
 ListCursor cursor_at(int index, DiscoveryMode mode = DiscoveryMode::Pushed) {
   ListCursor cursor(mode, 0);
   cursor.begin_call(kNow);
@@ -28,7 +28,7 @@
   return cursor;
 }
 
-TEST(ListCursor, AsksForTheFullListFirstInPushedModeAlsoWithAHeldIndex) {
+TEST(ListCursor, FirstAsksForTheFullListInPushedModeEvenWithAHeldIndex) {
   ListCursor cursor(DiscoveryMode::Pushed, 7);
 
   std::int64_t after = cursor.begin_call(kNow);
@@ -46,7 +46,7 @@
   EXPECT_EQ(cursor.call_scope(), CallScope::Changes);
 }
 
-TEST(ListCursor, AsksAfterTheFirstLineOfACallAgainInPushedMode) {
+TEST(ListCursor, AsksAfterTheIndexOfTheLastCallsFirstLineInPushedMode) {
   ListCursor cursor = cursor_at(4);
   cursor.begin_call(kNow);
   cursor.on_line(change(5), kNow);
@@ -80,18 +80,18 @@
   ListCursor cursor = cursor_at(4);
   cursor.begin_call(kNow);
 
-  PollResult result = cursor.on_line(snapshot(4), kNow);
+  CallOutcome outcome = cursor.on_line(snapshot(4), kNow);
 
-  EXPECT_TRUE(std::holds_alternative<ListUnchanged>(result));
+  EXPECT_TRUE(std::holds_alternative<ListUnchanged>(outcome));
 }
 
 TEST(ListCursor, ReportsTheHeldFullListAsAListOnRequest) {
   ListCursor cursor = cursor_at(4, DiscoveryMode::OnRequest);
   cursor.begin_call(kNow);
 
-  PollResult result = cursor.on_line(snapshot(4), kNow);
+  CallOutcome outcome = cursor.on_line(snapshot(4), kNow);
 
-  EXPECT_TRUE(std::holds_alternative<EndpointList>(result));
+  EXPECT_TRUE(std::holds_alternative<EndpointList>(outcome));
 }
 
 TEST(ListCursor, ReportsTheFullListAgainAfterAChange) {
@@ -99,48 +99,48 @@
   cursor.begin_call(kNow);
   cursor.on_line(change(5), kNow);
 
-  PollResult result = cursor.on_line(snapshot(4), kNow);
+  CallOutcome outcome = cursor.on_line(snapshot(4), kNow);
 
-  EXPECT_TRUE(std::holds_alternative<EndpointList>(result));
+  EXPECT_TRUE(std::holds_alternative<EndpointList>(outcome));
 }
 
 TEST(ListCursor, RejectsAChangeWhoseIndexWentBack) {
   ListCursor cursor = cursor_at(4);
   cursor.begin_call(kNow);
 
-  PollResult result = cursor.on_line(change(3), kNow);
+  CallOutcome outcome = cursor.on_line(change(3), kNow);
 
-  EXPECT_EQ(fault_of(result), ListFault::IndexWentBack);
+  EXPECT_EQ(fault_of(outcome), ListFault::IndexWentBack);
 }
 
 TEST(ListCursor, AcceptsAFullListWhoseIndexWentBack) {
   ListCursor cursor = cursor_at(4);
   cursor.begin_call(kNow);
 
-  PollResult result = cursor.on_line(snapshot(3), kNow);
+  CallOutcome outcome = cursor.on_line(snapshot(3), kNow);
 
-  EXPECT_EQ(std::get<EndpointList>(result).index, 3);
+  EXPECT_EQ(std::get<EndpointList>(outcome).index, 3);
 }
 
 TEST(ListCursor, AcceptsAnEmptySnapshotOnlyTheSecondTimeInARow) {
   ListCursor cursor = cursor_at(4);
   cursor.begin_call(kNow);
 
-  PollResult first = cursor.on_line(empty_snapshot(5), kNow);
-  PollResult second = cursor.on_line(empty_snapshot(5), kNow);
+  CallOutcome first = cursor.on_line(empty_snapshot(5), kNow);
+  CallOutcome second = cursor.on_line(empty_snapshot(5), kNow);
 
   EXPECT_EQ(fault_of(first), ListFault::EmptySnapshot);
   EXPECT_TRUE(std::holds_alternative<EndpointList>(second));
 }
 
-TEST(ListCursor, ReportsTheFieldThatALineLacks) {
+TEST(ListCursor, ReportsTheMissingFieldOfALine) {
   ListCursor cursor = cursor_at(4);
   cursor.begin_call(kNow);
 
-  PollResult result = cursor.on_line(R"({"index":5})", kNow);
+  CallOutcome outcome = cursor.on_line(R"({"index":5})", kNow);
 
-  EXPECT_EQ(fault_of(result), ListFault::MissingListField);
-  EXPECT_EQ(std::get<ListError>(result).where, "endpoints");
+  EXPECT_EQ(fault_of(outcome), ListFault::MissingListField);
+  EXPECT_EQ(std::get<ListError>(outcome).detail, "endpoints");
 }
 
 TEST(ListCursor, AsksForTheFullListAfterAReset) {
--- a/src/discovery/list_splitter.cpp
+++ b/src/discovery/list_splitter.cpp
@@ -9,7 +9,7 @@
       scan(byte);
       continue;
     }
-    // JSON has no line feed within quotes: that line ends, and can't be read.
+    // A JSON string can't contain a raw line feed: such a line ends here, and the parser will reject it.
     ends_inside_list_ = depth_ > 0 && !in_quotes_;
     if (ends_inside_list_) continue;
     std::string line = buffer_.substr(0, scanned_bytes_);
--- a/src/discovery/list_splitter.h
+++ b/src/discovery/list_splitter.h
@@ -1,4 +1,4 @@
-// Splits the body of a watch into lists. Their text is not interpreted beyond quotes and braces.
+// Splits the response body of a watch into lists. Looks only at line feeds, quotes, braces and brackets.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,21 @@
 
 namespace puffinvane {
 
-// Holds back bytes until a line is complete. A list may be indented over several lines: its line ends where
-// all of its braces are closed. Owned by a watch, on the event loop's thread; has no errors of its own.
+// Buffers bytes until a line is complete. A list may be pretty-printed over several lines: it counts as one
+// line, which ends when all of its braces and brackets are closed. Owned by a DiscoveryWatch, on the event
+// loop's thread. Reports no errors: invalid JSON is passed on to the parser.
 class ListSplitter {
  public:
-  // Longer lists are not read, so that a line without an end can't use up the memory.
+  // The caller rejects longer lists, so that an endless line can't exhaust the memory.
   static constexpr std::size_t kMaxListBytes = 8 << 20;
 
   void append(std::string_view bytes) { buffer_ += bytes; }
-  // The next complete line without its line feed, empty for a blank one; none until more bytes come.
+  // Removes and returns the next complete line without its line feed; nullopt if no line is complete.
   std::optional<std::string> take_line();
   bool exceeds_size_limit() const { return buffer_.size() > kMaxListBytes; }
-  // A list has begun and is not complete.
+  // The start of a list has been scanned, but not yet its end.
   bool has_partial_list() const { return depth_ > 0; }
-  // The bytes so far end at a line feed inside of a list.
+  // The last line feed that was scanned is inside a list.
   bool ends_inside_list() const { return ends_inside_list_; }
 
  private:
--- a/src/discovery/list_splitter_test.cpp
+++ b/src/discovery/list_splitter_test.cpp
@@ -7,7 +7,7 @@
 namespace puffinvane {
 namespace {
 
-TEST(ListSplitter, HoldsALineBackUntilItEnds) {
+TEST(ListSplitter, BuffersALineUntilItIsComplete) {
   ListSplitter splitter;
 
   splitter.append("one\ntw");
@@ -34,7 +34,7 @@
   EXPECT_EQ(splitter.take_line(), "next");
 }
 
-TEST(ListSplitter, ReportsAListThatStopsBetweenItsLines) {
+TEST(ListSplitter, ReportsAListThatIsCutOffBetweenItsLines) {
   ListSplitter splitter;
 
   splitter.append("{\n  \"a\": [\n");
@@ -56,7 +56,7 @@
   EXPECT_FALSE(splitter.ends_inside_list());
 }
 
-TEST(ListSplitter, EndsALineWithinQuotes) {
+TEST(ListSplitter, EndsALineAtALineFeedWithinQuotes) {
   ListSplitter splitter;
 
   splitter.append("{\"no end\n}\n");
