--- a/src/hot_restart/channel.cpp
+++ b/src/hot_restart/channel.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-// Bounds the time that one channel holds the event loop.
+// Limits the time for which one channel occupies the event loop.
 constexpr int kMaxPacketsPerWakeup = 64;
 constexpr double kMemoryRetrySeconds = 0.01;
-// A packet with more attached sockets is truncated by the system.
+// If more sockets are attached to a packet, the system discards the excess ones.
 constexpr std::size_t kMaxAttachedSockets = 4;
 
-// Space for the descriptors attached to a packet, aligned as the system requires.
+// A buffer for the descriptors attached to a packet, aligned as sendmsg and recvmsg require.
 struct alignas(cmsghdr) AncillaryBuffer {
   std::array<char, CMSG_SPACE(kMaxAttachedSockets * sizeof(int))> bytes{};
 };
@@ -38,7 +38,7 @@
   std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
 }
 
-// Keeps the descriptor as a socket if none is kept yet; closes it otherwise.
+// Stores the descriptor in `kept` unless that already holds a socket; otherwise closes it.
 void keep_or_close(int descriptor, Ref<GSocket>& kept) {
   if (!kept) {
     kept.reset(g_socket_new_from_fd(descriptor, nullptr));
@@ -102,7 +102,7 @@
 }
 
 void Channel::send(std::string text) {
-  // The system would refuse it for ever, and all packets behind it would wait.
+  // The system would never accept it, and it would block all packets queued after it.
   if (text.size() > kMaxPacketBytes) {
     loop_.log()
         .event(Level::Warning, "hot_restart.message_too_large")
@@ -150,12 +150,13 @@
     pause();
     return;
   }
-  // A write that fails for good is followed by a read that finds the channel closed.
+  // After a permanent write failure nothing is done here: the next read finds the channel closed.
   const std::uint32_t writable = status == WriteStatus::WouldBlock ? std::uint32_t(EPOLLOUT) : 0u;
   loop_.watch(g_socket_get_fd(socket_.get()), EPOLLIN | writable, *this);
 }
 
-// The socket stays ready while the system has no memory, so it is not watched in the meantime.
+// The socket stays ready while the system is out of memory. It is not watched during the pause, as the event
+// loop would spin.
 void Channel::pause() {
   state_ = State::Paused;
   loop_.unwatch(g_socket_get_fd(socket_.get()));
--- a/src/hot_restart/channel.h
+++ b/src/hot_restart/channel.h
@@ -1,5 +1,5 @@
-// The control channel between two processes of one sidecar: packets of text over a Unix socket, each with a
-// socket attached or without. It does not know what the packets mean.
+// The control channel between two processes of one sidecar: sends packets of text over a Unix socket, each
+// with an optional attached socket. It does not interpret the packets.
 #pragma once
 
 #include <cstddef>
@@ -20,8 +20,8 @@
 enum class ReceiveStatus {
   Received,
   WouldBlock,
-  TryLater,  // the system had no memory for the call
-  Closed,    // no packet will come any more
+  TryLater,  // the system is out of memory, or signals interrupted the call
+  Closed,    // no more packets can be received
 };
 
 struct ReceiveResult {
@@ -29,21 +29,22 @@
   Packet packet;  // empty unless status is Received
 };
 
-// A non-blocking control socket that is not connected; null if the system refuses one.
+// Creates an unconnected, non-blocking control socket; null on failure.
 Ref<GSocket> create_control_socket();
 
-// Receives one packet without blocking. Of several attached sockets the first is kept.
+// Receives one packet without blocking. If several sockets are attached, all but the first are closed.
 ReceiveResult receive_packet(GSocket* socket);
 
-// One end of a control channel. Owned by its Owner; everything runs on the event loop's thread. An error of
-// the socket closes the channel.
+// One end of a control channel. Belongs to its Owner; everything runs on the event loop's thread. A socket
+// error closes the channel.
 class Channel final : SocketEventHandler {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
     virtual void on_packet(Channel& channel, Packet packet) = 0;
-    // The peer is gone. Called from within the channel, so the owner may not destroy it before it returns.
+    // The peer has closed its end, or the socket has failed. Called by the channel itself, so the owner must
+    // not destroy the channel before this call returns.
     virtual void on_channel_closed(Channel& channel) = 0;
   };
 
@@ -52,11 +53,11 @@
   Channel& operator=(const Channel&) = delete;
   ~Channel() override;
 
-  // Sends after everything queued before, later if the socket is full. Text over kMaxPacketBytes is logged
-  // and dropped.
+  // Sends a packet, or queues it if the socket's buffer is full. Packets are sent in order. One that is
+  // longer than kMaxPacketBytes is dropped, which is logged.
   void send(std::string text);
 
-  // Sends a packet with a socket attached, now or not at all. True if it was sent.
+  // Sends a packet with an attached socket without queueing it. Returns false if it could not be sent now.
   [[nodiscard]] bool try_send(const std::string& text, GSocket* attached_socket);
 
  private:
--- a/src/hot_restart/channel_test.cpp
+++ b/src/hot_restart/channel_test.cpp
@@ -1,5 +1,5 @@
-// A control channel over a pair of sockets: packets arrive whole and in order, with their sockets, and the
-// end of the peer is reported.
+// A control channel over a socket pair: packets arrive complete and in order, with their attached sockets,
+// and the disconnection of the peer is reported.
 #include "src/hot_restart/channel.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
     receiver_ = std::make_unique<Channel>(loop_, receiver_owner_, std::move(sockets.second));
   }
 
-  // Runs the loop until the condition holds; false if it does not within the deadline.
+  // Runs the loop until the condition holds. Returns false if it doesn't within kDeadlineSeconds.
   template <typename Condition>
   bool run_until(Condition condition) {
     const double deadline = loop_.now() + kDeadlineSeconds;
@@ -126,7 +126,7 @@
   EXPECT_EQ(receiver_owner_.packets.size(), kPackets);
 }
 
-TEST_F(ChannelTest, ReportsTheEndOfItsPeerOnce) {
+TEST_F(ChannelTest, ReportsTheDisconnectionOfItsPeerOnce) {
   sender_.reset();
 
   ASSERT_TRUE(run_until([&] { return receiver_owner_.closed > 0; }));
@@ -134,7 +134,7 @@
   EXPECT_EQ(receiver_owner_.closed, 1);
 }
 
-TEST_F(ChannelTest, DeliversWhatWasSentBeforeTheEndOfItsPeer) {
+TEST_F(ChannelTest, DeliversPacketsSentBeforeTheDisconnectionOfItsPeer) {
   sender_->send("last");
   sender_.reset();
 
@@ -143,7 +143,7 @@
   EXPECT_EQ(receiver_owner_.packets[0].text, "last");
 }
 
-TEST_F(ChannelTest, SendsNothingToAPeerThatIsGone) {
+TEST_F(ChannelTest, SendsNothingToADisconnectedPeer) {
   SocketPair attached = connected_sockets(SOCK_STREAM);
   receiver_.reset();
   ASSERT_TRUE(run_until([&] { return sender_owner_.closed > 0; }));
@@ -151,7 +151,7 @@
   EXPECT_FALSE(sender_->try_send("socket", attached.second.get()));
 }
 
-TEST(ReceivePacket, FindsNothingOnASilentSocket) {
+TEST(ReceivePacket, WouldBlockIfNothingWasSent) {
   SocketPair sockets = connected_sockets(SOCK_SEQPACKET);
 
   const ReceiveResult received = receive_packet(sockets.first.get());
@@ -159,7 +159,7 @@
   EXPECT_EQ(received.status, ReceiveStatus::WouldBlock);
 }
 
-TEST(ReceivePacket, FindsAClosedSocketClosed) {
+TEST(ReceivePacket, ReportsThatThePeerClosedItsSocket) {
   SocketPair sockets = connected_sockets(SOCK_SEQPACKET);
   sockets.second.reset();
 
--- a/src/hot_restart/control_address.cpp
+++ b/src/hot_restart/control_address.cpp
@@ -22,7 +22,7 @@
   const std::size_t slash = path.rfind('/');
   const std::string folder = path.substr(0, slash);
   folder_ = retry_on_eintr([&] { return ::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC); });
-  // NOLINTNEXTLINE(cppcoreguidelines-prefer-member-initializer): errno of the call above
+  // NOLINTNEXTLINE(cppcoreguidelines-prefer-member-initializer): needs errno of the call above
   is_temporarily_unavailable_ = folder_ < 0 && (errno == EINTR || is_local_shortage(errno));
   file_name_ = path.substr(slash + 1);
   const std::string short_path = "/proc/self/fd/" + std::to_string(folder_) + "/" + file_name_;
--- a/src/hot_restart/control_address.h
+++ b/src/hot_restart/control_address.h
@@ -1,4 +1,4 @@
-// Where the processes of one sidecar meet: the path of the control socket and the socket file there.
+// The path of a sidecar's control socket, by which its processes find each other, and the socket file there.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 namespace puffinvane {
 
-// The path of the control socket of the sidecar that listens at that address, in $TMPDIR. Empty if $TMPDIR is
-// not set or the address can't be a file name: then there is no hot restart.
+// The path of the control socket, in $TMPDIR, of the sidecar that serves clients at the address `listen`.
+// Empty if $TMPDIR is not set or the address can't be part of a file name: then hot restart is disabled.
 std::string control_socket_path(std::string_view listen);
 
-// The address of a Unix socket at a path of any length. Holds the folder open, as the system allows 107 bytes
-// for a socket's name and the folder is named by its descriptor.
+// The address of a Unix socket at a path of any length. The system limits socket paths to 107 bytes, so the
+// address refers to the folder by its open descriptor (/proc/self/fd/N/name), which this object keeps open.
 class ControlAddress {
  public:
   explicit ControlAddress(const std::string& path);
@@ -23,11 +23,11 @@
   ~ControlAddress();
 
   GSocketAddress* address() const { return address_.get(); }
-  // The folder could not be opened for lack of a local resource; a later try may succeed.
+  // Whether the folder could not be opened because local resources were exhausted. A retry may succeed.
   bool is_temporarily_unavailable() const { return is_temporarily_unavailable_; }
-  // The inode of the socket file there; 0 if there is none, or a file of another kind.
+  // The inode of the socket file at the path; 0 if there is no file or it is not a socket.
   std::uint64_t socket_inode() const;
-  // Leaves files of other kinds, which are not this program's.
+  // Removes the file at the path if it is a socket. Other files do not belong to this program.
   void remove_socket_file() const;
 
  private:
--- a/src/hot_restart/control_address_test.cpp
+++ b/src/hot_restart/control_address_test.cpp
@@ -1,4 +1,4 @@
-// The control path and the socket file there.
+// The path of the control socket and the socket file there.
 #include "src/hot_restart/control_address.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace puffinvane {
 namespace {
 
-// Sets $TMPDIR, or removes it, and restores it at the end.
+// Sets $TMPDIR, or unsets it if `value` is null, and restores it in the destructor.
 class ScopedTemporaryFolder {
  public:
   explicit ScopedTemporaryFolder(const char* value) {
@@ -37,19 +37,19 @@
   std::optional<std::string> former_;
 };
 
-TEST(ControlPath, IsInTheTemporaryFolder) {
+TEST(ControlSocketPath, IsInTheTemporaryFolder) {
   const ScopedTemporaryFolder folder("/somewhere");
 
   EXPECT_EQ(control_socket_path("127.0.0.1:5001"), "/somewhere/puffinvane-127.0.0.1:5001");
 }
 
-TEST(ControlPath, IsEmptyWithoutATemporaryFolder) {
+TEST(ControlSocketPath, IsEmptyWithoutATemporaryFolder) {
   const ScopedTemporaryFolder folder(nullptr);
 
   EXPECT_EQ(control_socket_path("127.0.0.1:5001"), "");
 }
 
-TEST(ControlPath, IsEmptyForAnAddressThatIsNoFileName) {
+TEST(ControlSocketPath, IsEmptyForAnAddressThatIsNotAFileName) {
   const ScopedTemporaryFolder folder("/somewhere");
 
   EXPECT_EQ(control_socket_path("a/b"), "");
@@ -73,7 +73,7 @@
   EXPECT_FALSE(std::filesystem::exists(folder.path()));
 }
 
-TEST(ControlAddress, LeavesAFileOfAnotherKind) {
+TEST(ControlAddress, KeepsAFileThatIsNotASocket) {
   const test::ControlFolder folder;
   std::ofstream(folder.path()) << "not a socket";
   const ControlAddress address(folder.path());
--- a/src/hot_restart/control_folder.h
+++ b/src/hot_restart/control_folder.h
@@ -1,4 +1,4 @@
-// A folder for the control socket of one of this folder's tests. Linked into no program.
+// A temporary folder with a path for a control socket. Only for the tests of src/hot_restart.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,7 +9,8 @@
 
 namespace puffinvane::test {
 
-// A temporary folder with a control path that is too long for a socket's name. Removed at the end.
+// A temporary folder in which the path for the control socket exceeds the system's limit for socket paths.
+// The destructor removes the folder.
 class ControlFolder {
  public:
   ControlFolder() {
--- a/src/hot_restart/control_listener.cpp
+++ b/src/hot_restart/control_listener.cpp
@@ -31,7 +31,7 @@
   source_.reset();
   socket_ = create_control_socket();
   if (!socket_) {
-    on_open_failed("no socket");
+    on_open_failed("cannot create a socket");
     return;
   }
   GError* raw_error = nullptr;
@@ -72,7 +72,7 @@
 gboolean ControlListener::accept_connection() {
   Ref<GSocket> connection(g_socket_accept(socket_.get(), nullptr, nullptr));
   if (!connection) {
-    // The connection still waits, and an active source would fire again and again.
+    // The connection stays pending. If the source remained attached, it would fire continuously.
     loop_.at(loop_.now() + kAcceptRetrySeconds, alive_.guard([this] { watch_for_connections(); }));
     return G_SOURCE_REMOVE;
   }
--- a/src/hot_restart/control_listener.h
+++ b/src/hot_restart/control_listener.h
@@ -1,4 +1,4 @@
-// Waits at the control path for a successor to connect. It does not know the messages on the connection.
+// Accepts connections of a successor at the control socket path. It does not interpret what they send.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,9 @@
 
 namespace puffinvane {
 
-// Owned by its Owner; everything runs on the event loop's thread. If it can't listen it logs that once, tries
-// again for some seconds and gives up: the process serves, and its successor starts alone.
+// Belongs to its Owner; everything runs on the event loop's thread. If it can't listen, it logs that once,
+// retries for some seconds and then gives up: this process keeps serving, and its successor starts without a
+// predecessor.
 class ControlListener {
  public:
   class Owner {
@@ -18,14 +19,14 @@
     virtual void on_control_connection(Ref<GSocket> socket) = 0;
   };
 
-  // An empty path: it never listens.
+  // If `path` is empty, the listener never listens.
   ControlListener(Loop& loop, Owner& owner, std::string path);
   ControlListener(const ControlListener&) = delete;
   ControlListener& operator=(const ControlListener&) = delete;
-  // Removes the socket file unless another process has put its own there.
+  // Removes the socket file unless another process has replaced it.
   ~ControlListener();
 
-  // Listens, in place of any process that listened at the path before.
+  // Starts to listen and replaces the socket file of any process that listened at the path before.
   void open();
 
  private:
@@ -39,8 +40,8 @@
   const std::string path_;
   Ref<GSocket> socket_;
   Source source_;
-  std::uint64_t socket_inode_ = 0;  // of the file that this listener has made; 0: none yet
-  int failed_opens_ = 0;            // in a row
+  std::uint64_t socket_inode_ = 0;  // of the socket file that this listener created; 0: none yet
+  int failed_opens_ = 0;            // consecutive
   LifetimeToken alive_;
 };
 
--- a/src/hot_restart/control_listener_test.cpp
+++ b/src/hot_restart/control_listener_test.cpp
@@ -1,4 +1,5 @@
-// The control listener: connections reach its owner, and a path that is taken is tried again.
+// The control listener: passes connections to its owner, and retries while the path is occupied by another
+// file.
 #include "src/hot_restart/control_listener.h"
 
 #include <gtest/gtest.h>
@@ -27,13 +28,13 @@
 
 class ControlListenerTest : public testing::Test {
  protected:
-  // True if a control socket is accepted for connection at the path.
+  // Whether a control socket can connect to the path.
   bool try_connect() {
     const Ref<GSocket> socket = create_control_socket();
     const ControlAddress address(folder_.path());
     return g_socket_connect(socket.get(), address.address(), nullptr, nullptr);
   }
-  // Runs the loop until the condition holds; false if it does not within the deadline.
+  // Runs the loop until the condition holds. Returns false if it doesn't within kDeadlineSeconds.
   template <typename Condition>
   bool run_until(Condition condition) {
     const double deadline = loop_.now() + kDeadlineSeconds;
@@ -64,7 +65,7 @@
   EXPECT_TRUE(run_until([&] { return owner_.connections == 2; }));
 }
 
-TEST_F(ControlListenerTest, TakesThePlaceOfAFormerListener) {
+TEST_F(ControlListenerTest, ReplacesAFormerListener) {
   ControlListener former(loop_, owner_, folder_.path());
   former.open();
 
@@ -74,7 +75,7 @@
   EXPECT_TRUE(run_until([&] { return owner_.connections == 1; }));
 }
 
-TEST_F(ControlListenerTest, LogsOnceThatThePathIsTaken) {
+TEST_F(ControlListenerTest, LogsOnceThatThePathIsOccupied) {
   std::ofstream(folder_.path()) << "not a socket";
   const double opened_at = loop_.now();
 
--- a/src/hot_restart/former_version_test.cpp
+++ b/src/hot_restart/former_version_test.cpp
@@ -1,5 +1,5 @@
-// Packets that a former version of the program has written (testdata/format_1_packets.txt, one a line) are
-// decoded as what it meant, and this version writes the same bytes.
+// Compatibility with former versions: this version decodes the packets that a former one has encoded
+// (testdata/format_1_packets.txt, one per line), and encodes the same messages as the same bytes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -15,7 +15,7 @@
 
 struct FormerPacket {
   std::string name;
-  std::size_t line;  // of the file, from 0
+  std::size_t line;  // in the file, counted from 0
   ControlMessage message;
 };
 
@@ -61,7 +61,7 @@
   EXPECT_EQ(actual.state.started_at_s, expected.state.started_at_s);
 }
 
-// Messages that are their type alone.
+// Messages without fields.
 void expect_equal(const ListenerMessage&, const ListenerMessage&) {}
 void expect_equal(const SnapshotCompleteMessage&, const SnapshotCompleteMessage&) {}
 void expect_equal(const ServingMessage&, const ServingMessage&) {}
@@ -84,7 +84,7 @@
 
 class FormerVersion : public testing::TestWithParam<FormerPacket> {};
 
-TEST_P(FormerVersion, PacketIsDecodedAsMeant) {
+TEST_P(FormerVersion, PacketIsDecodedAsTheOriginalMessage) {
   const ControlMessage& expected = GetParam().message;
 
   const auto decoded = decode_message(packet_at(GetParam().line));
@@ -120,8 +120,9 @@
   EXPECT_EQ(packets, std::vector<std::string>{packet_at(10)});
 }
 
-// Such a version sends the starts of endpoints in Unix time, which can't be compared with monotonic times.
-TEST(FormerVersionPackets, LearnedStateOnAnotherClockLeavesStartedEndpointsOut) {
+// Versions that don't send the clock send the starts of endpoints in Unix time, which can't be compared with
+// monotonic times.
+TEST(FormerVersionPackets, LearnedStateOnAnotherClockOmitsEndpointsWithAStartTime) {
   std::string packet = packet_at(10);
   const std::string clock = R"("clock":"monotonic",)";
   ASSERT_NE(packet.find(clock), std::string::npos);
@@ -136,7 +137,7 @@
   EXPECT_EQ(message->state.endpoints[0].name, "s-0");
 }
 
-TEST(FormerVersionPackets, ListWithoutTimesIsNotTimed) {
+TEST(FormerVersionPackets, ListWithoutMonotonicTimesHasNoStartTimes) {
   const auto decoded =
       decode_message(R"({"format":1,"say":"listing","list":{"index":900,"snapshot":true,"endpoints":[]}})");
 
--- a/src/hot_restart/hot_restart.cpp
+++ b/src/hot_restart/hot_restart.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The control listener's socket and the channels to both peers.
+// For the control listener's socket and the channels to both peers.
 constexpr int kReservedDescriptors = 3;
 
 }  // namespace
@@ -45,7 +45,7 @@
   listener_.open();
 }
 
-// A second successor is refused: its socket is closed here.
+// While there is a successor, another one is refused by closing its socket, which is destroyed here.
 void HotRestart::on_control_connection(Ref<GSocket> socket) {
   if (successor_) return;
   successor_ = std::make_unique<Channel>(loop_, static_cast<Channel::Owner&>(*this), std::move(socket));
@@ -55,15 +55,15 @@
 void HotRestart::begin_takeover() {
   loop_.log().event(Level::Info, "hot_restart.takeover_started");
   send_snapshot();
-  // Learned state follows the snapshot, so that the successor starts without waiting for it.
+  // Learned state is sent after the snapshot, so that the successor can start without waiting for it.
   learned_state_.emplace(owner_.learned_state());
   send_learned_state_packet();
   owner_.on_peer_presence(PeerPresence::Present);
 }
 
 void HotRestart::send_snapshot() {
-  // The listener goes first, as a socket is sent at once or not at all and a long list may fill the channel.
-  // Without it the successor opens a listener of its own.
+  // The listener is sent first: sockets aren't queued, and a long list may fill the channel. If it can't be
+  // sent, the successor opens a listener of its own.
   if (GSocket* listener = owner_.listener_socket()) {
     static_cast<void>(successor_->try_send(encode_message(ListenerMessage{}), listener));
   }
@@ -74,7 +74,8 @@
   successor_->send(encode_message(SnapshotCompleteMessage{}));
 }
 
-// Sends one packet on each turn of the loop: encoding a thousand endpoints at once would delay requests.
+// Sends one packet per iteration of the event loop: encoding a thousand endpoints at once would delay
+// requests.
 void HotRestart::send_learned_state_packet() {
   if (successor_state_ != SuccessorState::ReceivingLearnedState) return;
   successor_->send(learned_state_->next_packet());
@@ -116,7 +117,7 @@
   if (!decoded) {
     loop_.log()
         .event(Level::Warning, "hot_restart.message_rejected")
-        .with("peer", name_of_peer(channel))
+        .with("peer", peer_name(channel))
         .with("reason", to_string(decoded.error().fault))
         .with("field", decoded.error().field);
     return;
@@ -139,7 +140,7 @@
 }
 
 void HotRestart::on_channel_closed(Channel& channel) {
-  loop_.log().event(Level::Info, "hot_restart.peer_disconnected").with("peer", name_of_peer(channel));
+  loop_.log().event(Level::Info, "hot_restart.peer_disconnected").with("peer", peer_name(channel));
   if (&channel == successor_.get()) {
     apply_successor_event(SuccessorEvent::Disconnected);
     return;
@@ -153,7 +154,7 @@
   owner_.on_peer_presence(is_alone ? PeerPresence::Alone : PeerPresence::Present);
 }
 
-const char* HotRestart::name_of_peer(const Channel& channel) const {
+const char* HotRestart::peer_name(const Channel& channel) const {
   return &channel == successor_.get() ? "successor" : "predecessor";
 }
 
--- a/src/hot_restart/hot_restart.h
+++ b/src/hot_restart/hot_restart.h
@@ -1,5 +1,5 @@
-// The hot restart of a process that serves: what it sends to its predecessor and its successor on the control
-// channels, and how it reacts to their messages. Serving requests meanwhile is its owner's responsibility.
+// Hot restart as seen by a process that serves: exchanges messages with its predecessor and its successor on
+// the control channels. Its owner serves requests meanwhile.
 #pragma once
 
 #include <memory>
@@ -14,18 +14,19 @@
 
 namespace puffinvane {
 
-// Whether another process of this sidecar runs beside this one and holds resources under the same limits.
+// Whether this process is alone or a predecessor or successor is running too, which uses resources under the
+// same limits.
 enum class PeerPresence { Alone, Present };
 
-// Connects a process with its predecessor and its successor. Owned by its Owner; everything runs on the event
-// loop's thread. A message that can't be decoded or sent is logged and dropped; a peer that goes away is
-// logged, and the next successor may come.
+// Connects a process with its predecessor and its successor. Belongs to its Owner; everything runs on the
+// event loop's thread. A message that can't be decoded, or is too large to send, is logged and dropped. The
+// end of a peer is logged; after that of the successor, another one may connect.
 class HotRestart final : Channel::Owner, ControlListener::Owner {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual GSocket* listener_socket() = 0;  // null: there is none to pass on
+    virtual GSocket* listener_socket() = 0;  // null if there is none to pass on
     virtual EndpointList endpoint_list() const = 0;
     virtual OperatorOverrides operator_overrides() const = 0;
     virtual LearnedState learned_state() const = 0;
@@ -35,16 +36,16 @@
     virtual void on_peer_presence(PeerPresence presence) = 0;
   };
 
-  // predecessor: the control channel of a takeover; null if there was none.
+  // `predecessor` is the socket of the control channel to the predecessor; null if there is none.
   HotRestart(Loop& loop, Owner& owner, std::string control_socket_path, Ref<GSocket> predecessor);
 
-  // The owner serves. Notifies the predecessor; from here on a successor may connect.
+  // To be called once the owner serves: notifies the predecessor and accepts a successor from then on.
   void on_serving();
   bool has_successor() const { return successor_ != nullptr; }
-  // True until the successor has been sent all learned state.
+  // Whether there is a successor for which learned state is still being sent.
   bool is_sending_learned_state() const { return successor_state_ == SuccessorState::ReceivingLearnedState; }
   void send_operator_overrides();
-  // Passes a client's connection to the successor. True if it was sent; else it stays with this process.
+  // Passes a client's connection to the successor. Returns false if it wasn't sent: this process keeps it.
   [[nodiscard]] bool try_send_connection(GSocket* connection, ConnectionHistory history);
 
  private:
@@ -59,7 +60,8 @@
   void on_message(Channel& sender, OperatorOverridesMessage& message, Packet& packet);
   void on_message(Channel& sender, ConnectionMessage& message, Packet& packet);
   void on_message(Channel& sender, LearnedStateMessage& message, Packet& packet);
-  // Parts of the snapshot, which request_takeover has read, and a notification that changes nothing.
+  // Ignored: request_takeover has already read the parts of the snapshot, and ServingMessage needs no
+  // reaction.
   void on_message(Channel&, EndpointListMessage&, Packet&) {}
   void on_message(Channel&, ListenerMessage&, Packet&) {}
   void on_message(Channel&, SnapshotCompleteMessage&, Packet&) {}
@@ -73,7 +75,7 @@
   void discard_successor();
   void update_peer_presence();
   void forward_operator_overrides(const Channel& sender);
-  const char* name_of_peer(const Channel& channel) const;
+  const char* peer_name(const Channel& channel) const;
 
   Loop& loop_;
   Owner& owner_;
@@ -81,7 +83,7 @@
   std::unique_ptr<Channel> predecessor_;
   std::unique_ptr<Channel> successor_;
   SuccessorState successor_state_ = SuccessorState::None;
-  std::optional<LearnedStateEncoder> learned_state_;  // set while the successor receives it
+  std::optional<LearnedStateEncoder> learned_state_;  // set while it is being sent
   LifetimeToken alive_;
 };
 
--- a/src/hot_restart/hot_restart_test.cpp
+++ b/src/hot_restart/hot_restart_test.cpp
@@ -1,4 +1,5 @@
-// A hot restart with stand-ins for the peers: what is sent, in which order, and what a message changes.
+// HotRestart with stand-ins for both peers: which messages it sends in which order, and how it handles
+// messages.
 #include "src/hot_restart/hot_restart.h"
 
 #include <gtest/gtest.h>
@@ -42,7 +43,7 @@
   std::vector<PeerPresence> presences;
 };
 
-// The far end of a control channel: sends packets and keeps what it receives.
+// A stand-in for the predecessor or the successor: sends packets and records those that it receives.
 class Peer : public Channel::Owner {
  public:
   Peer(Loop& loop, Ref<GSocket> socket) : channel_(loop, *this, std::move(socket)) {}
@@ -78,7 +79,7 @@
     EXPECT_TRUE(g_socket_connect(socket.get(), address.address(), nullptr, nullptr));
     return std::make_unique<Peer>(loop_, std::move(socket));
   }
-  // A successor that has received everything.
+  // A successor that has received the snapshot and all learned state.
   std::unique_ptr<Peer> connect_up_to_date_successor() {
     std::unique_ptr<Peer> successor = connect_successor();
     EXPECT_TRUE(run_until(
@@ -88,7 +89,7 @@
     return successor;
   }
 
-  // Runs the loop until the condition holds; false if it does not within the deadline.
+  // Runs the loop until the condition holds. Returns false if it doesn't within kDeadlineSeconds.
   template <typename Condition>
   bool run_until(Condition condition) {
     const double deadline = loop_.now() + kDeadlineSeconds;
@@ -129,7 +130,7 @@
   EXPECT_NE(log_text_.str().find("hot_restart.takeover_started"), std::string::npos);
 }
 
-TEST_F(HotRestartTest, SendsLearnedStateAPacketATurn) {
+TEST_F(HotRestartTest, SendsLearnedStateOnePacketPerLoopIteration) {
   owner_.learned = test::learned_state_of(1100);
   const std::vector<std::string> expected = test::encode_learned_state(owner_.learned);
   ASSERT_GT(expected.size(), 2u);
@@ -156,7 +157,7 @@
   EXPECT_FALSE(successor->closed);
 }
 
-TEST_F(HotRestartTest, AcceptsAnotherSuccessorAfterOneIsGone) {
+TEST_F(HotRestartTest, AcceptsAnotherSuccessorAfterADisconnection) {
   std::unique_ptr<Peer> successor = connect_up_to_date_successor();
   successor.reset();
   ASSERT_TRUE(run_until([&] { return !hot_restart_->has_successor(); }));
@@ -167,7 +168,7 @@
   EXPECT_NE(log_text_.str().find("hot_restart.peer_disconnected peer=successor"), std::string::npos);
 }
 
-TEST_F(HotRestartTest, IsAloneOnceBothPeersAreGone) {
+TEST_F(HotRestartTest, IsAloneAfterBothPeersHaveDisconnected) {
   std::unique_ptr<Peer> successor = connect_up_to_date_successor();
   owner_.presences.clear();
 
@@ -180,7 +181,7 @@
   EXPECT_NE(log_text_.str().find("hot_restart.peer_disconnected peer=predecessor"), std::string::npos);
 }
 
-TEST_F(HotRestartTest, PassesOverridesOnToTheOtherPeerOnly) {
+TEST_F(HotRestartTest, ForwardsOverridesToTheOtherPeerOnly) {
   const std::unique_ptr<Peer> successor = connect_up_to_date_successor();
   const OperatorOverridesMessage message{test::quoted_overrides()};
   const std::size_t packets_before = predecessor_->packets.size();
@@ -193,7 +194,7 @@
   EXPECT_EQ(predecessor_->packets.size(), packets_before);
 }
 
-TEST_F(HotRestartTest, TakesLearnedStateFromThePredecessorOnly) {
+TEST_F(HotRestartTest, AcceptsLearnedStateFromThePredecessorOnly) {
   const std::unique_ptr<Peer> successor = connect_up_to_date_successor();
 
   successor->send(LearnedStateMessage{test::learned_state_of(1)});
@@ -234,7 +235,7 @@
       << log_text_.str();
 }
 
-TEST_F(HotRestartTest, RemovesItsSocketFileAtTheEnd) {
+TEST_F(HotRestartTest, RemovesItsSocketFileOnDestruction) {
   EXPECT_TRUE(std::filesystem::exists(path_));
 
   hot_restart_.reset();
@@ -242,7 +243,7 @@
   EXPECT_FALSE(std::filesystem::exists(path_));
 }
 
-TEST_F(HotRestartTest, LeavesTheSocketFileOfAnotherProcess) {
+TEST_F(HotRestartTest, KeepsTheSocketFileOfAnotherProcess) {
   std::filesystem::remove(path_);
   const Ref<GSocket> other = create_control_socket();
   ASSERT_TRUE(g_socket_bind(other.get(), ControlAddress(path_).address(), FALSE, nullptr));
--- a/src/hot_restart/json_reader.h
+++ b/src/hot_restart/json_reader.h
@@ -1,4 +1,5 @@
-// Reads typed values out of parsed JSON without exceptions and keeps the first error. It knows no message.
+// Reads typed values from parsed JSON without exceptions and records the first error. Independent of the
+// messages.
 #pragma once
 
 #include <simdjson.h>
@@ -13,20 +14,20 @@
 
 enum class DecodeFault {
   NotJson,
-  UnsupportedFormat,  // another version of the control channel
-  UnknownType,        // no message of that type
+  UnsupportedFormat,  // a format of the control channel that this version doesn't support
+  UnknownType,        // no message has this type
   MissingField,
-  WrongType,     // a JSON value of another kind, or an array of another length
-  OutOfRange,    // a number or a count that no sender can mean
-  InvalidValue,  // a value that its own parser refuses
+  WrongType,     // a JSON value of another type, or an array of another length
+  OutOfRange,    // a number or an array length outside of its valid range
+  InvalidValue,  // a value that is rejected by a parser of its own (endpoint lists)
 };
 
-// A stable name for logs.
+// The stable name of a fault in log events.
 std::string_view to_string(DecodeFault fault);
 
 struct DecodeError {
   DecodeFault fault = DecodeFault::NotJson;
-  std::string_view field;  // a literal; empty if no field is to blame
+  std::string_view field;  // a string literal; empty if no single field is at fault
   friend bool operator==(const DecodeError&, const DecodeError&) = default;
 };
 
@@ -35,8 +36,9 @@
   int maximum = 0;
 };
 
-// After an error the values it gives mean nothing, so that its user checks for errors once, at the end.
-// Owned by the function that decodes a message; elements that it gives belong to their simdjson parser.
+// After an error the returned values are meaningless, so the caller needs to check for an error only once, at
+// the end. Used by one function that decodes a message. The returned elements are valid as long as their
+// simdjson parser.
 class JsonReader {
  public:
   using Element = simdjson::dom::element;
@@ -46,7 +48,7 @@
   }
   const std::optional<DecodeError>& error() const { return error_; }
 
-  // `field` names the element in errors.
+  // The value of an element. `field` is the name of the element in errors, here and below.
   template <typename T>
   T value(Element element, std::string_view field) {
     T read{};
@@ -54,14 +56,14 @@
     return read;
   }
 
-  // A required member of an object.
+  // The value of a required member of an object.
   template <typename T>
   T member(Element object, std::string_view key) {
     const std::optional<Element> found = find(object, key);
     return found ? value<T>(*found, key) : T{};
   }
 
-  // Nothing if the member is missing or of another kind; neither is an error.
+  // The value of an optional member; nullopt, without an error, if it is missing or has another type.
   template <typename T>
   static std::optional<T> optional_member(Element object, std::string_view key) {
     T read{};
@@ -76,7 +78,7 @@
     return range.minimum;
   }
 
-  // The elements of an array that has to be of that size.
+  // The elements of an array that must have exactly `Size` elements.
   template <std::size_t Size>
   std::optional<std::array<Element, Size>> tuple(Element element, std::string_view field) {
     std::array<Element, Size> read;
@@ -105,7 +107,7 @@
     if (const std::optional<Element> found = find(object, key)) for_each(*found, key, function);
   }
 
-  // Nothing, and an error, if the object has no such member.
+  // A required member of an object; nullopt, with an error, if it is missing.
   std::optional<Element> find(Element object, std::string_view key) {
     Element found;
     if (!object[key].get(found)) return found;
--- a/src/hot_restart/learned_state_decoder.cpp
+++ b/src/hot_restart/learned_state_decoder.cpp
@@ -1,4 +1,4 @@
-// Decodes learned state, the one message with nested arrays in place of objects.
+// Decodes learned state, the only message that is encoded with nested arrays instead of objects.
 #include <deque>
 #include <string>
 #include <utility>
@@ -12,7 +12,7 @@
 
 using Element = JsonReader::Element;
 
-// No policy keeps more.
+// Upper limits of what a policy keeps.
 constexpr std::size_t kMaxSamples = 1000;
 constexpr std::size_t kMaxResponseSamples = 64;
 constexpr int kMaxAttemptsInFlight = 1 << 20;
@@ -81,8 +81,8 @@
   return clock == wire::kMonotonicClock ? StartClock::Monotonic : StartClock::Unknown;
 }
 
-// Nothing for an endpoint whose start is on another clock: it can't be distinguished from a later endpoint
-// of the same name.
+// nullopt for an endpoint whose start is on another clock. Its start can't be compared with that of the
+// endpoint that now has this name, which may have been started since.
 std::optional<LearnedState::EndpointState> decode_endpoint(JsonReader& reader, Element element,
                                                            StartClock clock) {
   const auto fields = reader.tuple<4>(element, "endpoint");
--- a/src/hot_restart/message.h
+++ b/src/hot_restart/message.h
@@ -1,8 +1,8 @@
-// The messages that two processes of one sidecar exchange on the control channel, as structs. Their bytes are
-// the responsibility of the encoder and the decoder, and the sockets that of the channel.
+// The messages that two processes of one sidecar exchange on the control channel. The encoder and the decoder
+// (message_encoder.h, message_decoder.h) convert them to and from packets, which Channel sends and receives.
 //
-// Times are on the system's monotonic clock, which both processes share, also the start times of endpoints: a
-// wall clock may be stepped between the two.
+// All times, including the start times of endpoints, are on the system's monotonic clock, which both
+// processes share. The wall clock may be stepped between sending and receiving a time.
 #pragma once
 
 #include <map>
@@ -16,12 +16,12 @@
 namespace puffinvane {
 
 struct OperatorOverrides {
-  std::map<std::string, double, std::less<>> excluded_since_s;  // excluded endpoints by name
+  std::map<std::string, double, std::less<>> excluded_since_s;  // by the name of the endpoint
   std::optional<double> evacuated_since_s;                      // unset: the sidecar is not evacuated
   friend bool operator==(const OperatorOverrides&, const OperatorOverrides&) = default;
 };
 
-// The endpoint list of the predecessor, or a part of it: a list of any length is sent as several messages.
+// The predecessor's endpoint list, or a part of it: a long list is sent as several messages.
 struct EndpointListMessage {
   EndpointList list;  // `is_snapshot` is set in the first part only
 };
@@ -42,14 +42,15 @@
   ConnectionHistory history = ConnectionHistory::Unused;
 };
 
-// The successor has all that it needs to start. Only learned state and connections follow.
+// The end of the snapshot: the predecessor has sent everything that the successor needs to start. After it
+// come only learned state, connections and changed operator overrides.
 struct SnapshotCompleteMessage {};
 
-// The successor serves.
+// The successor serves requests.
 struct ServingMessage {};
 
-// What the predecessor's policy has learned, or a part of it. An empty field of a part carries no
-// information.
+// The learned state of the predecessor's policy, or a part of it. An empty field means that this part has no
+// data for it.
 struct LearnedStateMessage {
   LearnedState state;
 };
--- a/src/hot_restart/message_builders.h
+++ b/src/hot_restart/message_builders.h
@@ -1,4 +1,4 @@
-// Builders of messages for this folder's tests. Linked into no program.
+// Builders of messages. Only for the tests of src/hot_restart.
 #pragma once
 
 #include <cstddef>
--- a/src/hot_restart/message_decoder.cpp
+++ b/src/hot_restart/message_decoder.cpp
@@ -12,7 +12,8 @@
 using Element = JsonReader::Element;
 using DecodeResult = Result<ControlMessage, DecodeError>;
 
-// Former versions, and discovery itself, send no times on the monotonic clock.
+// Reads the monotonic times of a list, if it has any. Lists of former versions have none, like those of
+// discovery.
 void decode_list_times(JsonReader& reader, Element element, EndpointList& list) {
   const auto received_at_s = JsonReader::optional_member<double>(element, wire::kListReceivedAtKey);
   if (!received_at_s) return;
@@ -63,7 +64,7 @@
 }
 
 template <typename Message>
-DecodeResult decode_empty(Element) {
+DecodeResult decode_without_fields(Element) {
   return ControlMessage(Message{});
 }
 
@@ -75,10 +76,10 @@
 constexpr MessageDecoder kDecoders[] = {
     {wire::kEndpointListType, decode_endpoint_list},
     {wire::kOperatorOverridesType, decode_operator_overrides},
-    {wire::kListenerType, decode_empty<ListenerMessage>},
+    {wire::kListenerType, decode_without_fields<ListenerMessage>},
     {wire::kConnectionType, decode_connection},
-    {wire::kSnapshotCompleteType, decode_empty<SnapshotCompleteMessage>},
-    {wire::kServingType, decode_empty<ServingMessage>},
+    {wire::kSnapshotCompleteType, decode_without_fields<SnapshotCompleteMessage>},
+    {wire::kServingType, decode_without_fields<ServingMessage>},
     {wire::kLearnedStateType, decode_learned_state_or_empty},
 };
 
@@ -107,7 +108,7 @@
   if (reader.error()) return *reader.error();
   if (format != wire::kFormat) return DecodeError{DecodeFault::UnsupportedFormat, wire::kFormatKey};
   const auto type = reader.member<std::string_view>(root, wire::kTypeKey);
-  // cppcheck-suppress identicalConditionAfterEarlyExit  // the member that was just read may be wrong
+  // cppcheck-suppress identicalConditionAfterEarlyExit  // reading `type` may have failed
   if (reader.error()) return *reader.error();
   for (const MessageDecoder& decoder : kDecoders) {
     if (decoder.type == type) return decoder.decode(root);
--- a/src/hot_restart/message_decoder.h
+++ b/src/hot_restart/message_decoder.h
@@ -1,4 +1,4 @@
-// Decodes packets of the control channel as messages, also those of former versions. The encoder is its
+// Decodes packets of the control channel, including those of former versions. message_encoder.h is the
 // counterpart.
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace puffinvane {
 
-// Accepts any bytes. Learned state that can't be decoded is an empty message and no error: the receiver then
-// starts with no learned state, as it would without a predecessor.
+// Decodes a packet of arbitrary bytes. Learned state that can't be decoded is no error, but gives an empty
+// message: the receiver then has no learned state, as if it had no predecessor.
 Result<ControlMessage, DecodeError> decode_message(std::string_view packet);
 
-// Fails where decode_message gives an empty message.
+// Decodes learned state only, and fails if that is invalid.
 Result<LearnedStateMessage, DecodeError> decode_learned_state(simdjson::dom::element packet);
 
 }  // namespace puffinvane
--- a/src/hot_restart/message_decoder_test.cpp
+++ b/src/hot_restart/message_decoder_test.cpp
@@ -1,4 +1,4 @@
-// Packets that can't be decoded: each gives a typed error that names the field.
+// Packets that can't be decoded: each gives an error with the kind of the fault and the field.
 #include "src/hot_restart/message_decoder.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return decoded.error();
 }
 
-// Decodes learned state without the replacement of faulty state by an empty message.
+// The error of decode_learned_state, which decode_message replaces by an empty message.
 std::optional<DecodeError> learned_state_error_of(std::string_view packet) {
   simdjson::dom::parser parser;
   const simdjson::padded_string padded(packet);
@@ -40,7 +40,7 @@
   return text;
 }
 
-// One endpoint whose health is a number that no sender can mean.
+// Learned state of one endpoint, whose health is not a valid value.
 std::string packet_with_unknown_health() {
   return replace_once(encode_learned_state(learned_state_of(1))[0], "[0,2.0,30.5", "[3,2.0,30.5");
 }
@@ -62,7 +62,7 @@
   EXPECT_EQ(error_of(""), (DecodeError{DecodeFault::NotJson, ""}));
 }
 
-TEST(MessageDecoder, RefusesAPacketThatIsNoObject) {
+TEST(MessageDecoder, RefusesAPacketThatIsNotAnObject) {
   EXPECT_EQ(error_of("[]"), (DecodeError{DecodeFault::MissingField, "format"}));
 }
 
@@ -87,19 +87,19 @@
   EXPECT_EQ(error_of(R"({"format":1,"say":"listing"})"), (DecodeError{DecodeFault::MissingField, "list"}));
 }
 
-TEST(MessageDecoder, RefusesAListThatDiscoveryWouldRefuse) {
+TEST(MessageDecoder, RefusesAnInvalidList) {
   EXPECT_EQ(error_of(R"({"format":1,"say":"listing","list":{"index":1}})"),
             (DecodeError{DecodeFault::InvalidValue, "list"}));
 }
 
-TEST(MessageDecoder, RefusesATimedListWithoutAStartTime) {
+TEST(MessageDecoder, RefusesAListWithAReceiptTimeButWithoutStartTimes) {
   const std::string packet = R"({"format":1,"say":"listing","list":{"index":1,"heard_at":2.0,)"
                              R"("endpoints":[{"name":"a","address":"127.0.0.1:1","status":"active"}]}})";
 
   EXPECT_EQ(error_of(packet), (DecodeError{DecodeFault::MissingField, "started"}));
 }
 
-TEST(MessageDecoder, GivesEmptyLearnedStateWhereItIsFaulty) {
+TEST(MessageDecoder, GivesEmptyLearnedStateIfItIsInvalid) {
   const auto decoded = decode_message(packet_with_unknown_health());
 
   ASSERT_TRUE(decoded.has_value());
@@ -114,7 +114,7 @@
             (DecodeError{DecodeFault::OutOfRange, "health"}));
 }
 
-TEST(LearnedStateDecoder, RefusesStatisticsThatLackAField) {
+TEST(LearnedStateDecoder, RefusesStatisticsWithAMissingField) {
   const std::string packet =
       replace_once(encode_learned_state(learned_state_of(1))[0], "[0,2.0,30.5,", "[0,2.0,");
 
--- a/src/hot_restart/message_encoder.cpp
+++ b/src/hot_restart/message_encoder.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-// Packets are filled up to this size: a socket holds few packets, so many small ones would be slow, and the
-// last entry may take a packet beyond it but not beyond the channel's limit.
+// Entries are added to a packet until it has this size. Small packets would be slow, as a socket buffers only
+// few packets. The last entry may exceed this size, but not the limit of the channel.
 constexpr std::size_t kPacketFillBytes = std::size_t{48} * 1024;
 
 enum class PartPosition { First, Later };
@@ -104,8 +104,8 @@
   return packet;
 }
 
-// Makes the packet of a message, which std::visit picks by its type.
-struct PacketOf {
+// A visitor that builds the JSON packet of each type of message.
+struct PacketBuilder {
   json operator()(const EndpointListMessage& message) const {
     json entries = json::array();
     for (std::size_t i = 0; i < message.list.entries.size(); ++i) {
@@ -146,7 +146,9 @@
 
 }  // namespace
 
-std::string encode_message(const ControlMessage& message) { return to_text(std::visit(PacketOf{}, message)); }
+std::string encode_message(const ControlMessage& message) {
+  return to_text(std::visit(PacketBuilder{}, message));
+}
 
 std::vector<std::string> encode_endpoint_list(const EndpointList& list) {
   std::vector<std::string> packets;
--- a/src/hot_restart/message_encoder.h
+++ b/src/hot_restart/message_encoder.h
@@ -1,4 +1,4 @@
-// Encodes the messages of the control channel as packets. The decoder is its counterpart.
+// Encodes the messages of the control channel as packets. message_decoder.h is the counterpart.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +9,23 @@
 
 namespace puffinvane {
 
-// One message as one packet, whatever its size.
+// Encodes a message as one packet of any size. Channel drops packets over kMaxPacketBytes, so long endpoint
+// lists and learned state are encoded by the functions below.
 std::string encode_message(const ControlMessage& message);
 
-// An endpoint list as packets of bounded size, at least one.
+// Encodes an endpoint list as one or more packets of bounded size.
 std::vector<std::string> encode_endpoint_list(const EndpointList& list);
 
-// Encodes learned state as packets of bounded size, one a call, so that its owner can do other work between
-// two packets. Owns a copy of the state.
+// Encodes learned state as packets of bounded size, one per call, so that the caller can do other work in
+// between. Owns its copy of the state.
 class LearnedStateEncoder {
  public:
   explicit LearnedStateEncoder(LearnedState state) : state_(std::move(state)) {}
 
-  // The first packet carries everything that is not about one endpoint. An endpoint too large for a packet of
-  // its own is left out.
+  // The first packet has all state that doesn't belong to one endpoint. An endpoint that is too large for a
+  // packet is omitted.
   std::string next_packet();
-  // True once no endpoint is left to encode. The first packet is due even if there are no endpoints.
+  // Whether all endpoints have been encoded. The first packet has to be sent even if there are no endpoints.
   bool is_complete() const { return next_endpoint_ == state_.endpoints.size(); }
 
  private:
--- a/src/hot_restart/message_fuzz_test.cpp
+++ b/src/hot_restart/message_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Any bytes in place of a packet, and of a call of the admin API, are read without harm. The same entry
-// serves libFuzzer and, from a test, packets and calls torn in some ways, the same at every run.
+// Fuzz test of the message decoder and of the HTTP parser as the admin API uses it. libFuzzer and a test
+// share the entry point. The test mutates valid packets and requests, with the same inputs in every run.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -33,7 +33,7 @@
   }
 }
 
-// Messages without a field that could be wrong.
+// Messages without fields that could be invalid.
 void check_decoded(const ListenerMessage&) {}
 void check_decoded(const ConnectionMessage&) {}
 void check_decoded(const SnapshotCompleteMessage&) {}
@@ -45,7 +45,7 @@
   std::visit([](const auto& message) { check_decoded(message); }, decoded.value());
 }
 
-// Feeds a reader byte by byte until its message is complete or refused, and collects the body.
+// Feeds a reader byte by byte until its message is complete or invalid, and collects the body.
 void feed_bytewise(HttpReader& reader, std::string_view text, BufferChain& body) {
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (reader.is_complete() || reader.fault() != HttpReader::Fault::None) return;
@@ -54,8 +54,8 @@
   }
 }
 
-// The admin API's parser is the listener's, with a small limit for the body. Bytes that are read together and
-// bytes that are read singly have to give the same message.
+// The admin API uses the same parser as the listener, with a small limit for the body. Parsing all bytes at
+// once and byte by byte has to give the same message.
 void check_http(std::string_view text) {
   constexpr std::size_t kMaxBodyBytes = 4096;
   BufferPool pool;
@@ -90,7 +90,7 @@
 
 constexpr int kInputsPerSeed = 2000;
 
-// xorshift: the same inputs at every run.
+// A xorshift generator with a fixed seed.
 class Random {
  public:
   std::size_t below(std::size_t limit) {
@@ -118,7 +118,7 @@
   return seeds;
 }
 
-// Up to three replacements of a part by another part or by a random byte.
+// Replaces up to three random parts of the text, each by another part of it or by a random byte.
 std::string mutate(std::string text, Random& random) {
   for (std::size_t left = random.below(4); left > 0 && !text.empty(); --left) {
     std::string inserted;
@@ -135,7 +135,7 @@
   return text;
 }
 
-TEST(AnyBytes, AreReadWithoutHarm) {
+TEST(MutatedInput, IsHandledWithoutFailure) {
   Random random;
   int inputs = 0;
 
--- a/src/hot_restart/message_test.cpp
+++ b/src/hot_restart/message_test.cpp
@@ -1,4 +1,4 @@
-// Messages are decoded as they were encoded, of any number of endpoints and within a packet's size.
+// Round trips of messages with any number of endpoints, and the size of their packets.
 #include <gtest/gtest.h>
 
 #include <iterator>
@@ -10,7 +10,7 @@
 namespace puffinvane {
 namespace {
 
-// The message of that type in a packet; nothing, and a failed test, if there is another or none.
+// Decodes a packet as a message of that type. If it isn't one, fails the test and returns nullopt.
 template <typename Message>
 std::optional<Message> decode_as(const std::string& packet) {
   Result<ControlMessage, DecodeError> decoded = decode_message(packet);
@@ -70,7 +70,7 @@
   EXPECT_EQ(decoded->overrides.evacuated_since_s, overrides.evacuated_since_s);
 }
 
-TEST(OperatorOverrides, AreDecodedAsNoneWhereNoneAreGiven) {
+TEST(OperatorOverrides, AreDecodedAsEmptyIfThereAreNone) {
   const auto decoded = decode_as<OperatorOverridesMessage>(encode_message(OperatorOverridesMessage{}));
 
   ASSERT_TRUE(decoded.has_value());
@@ -110,7 +110,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Sizes, LearnedStateOfSize, testing::Values(0, 1, 13, 200, 1100));
 
-TEST(LearnedStateEncoder, LeavesOutAnEndpointTooLargeForAPacket) {
+TEST(LearnedStateEncoder, OmitsAnEndpointTooLargeForAPacket) {
   LearnedState state = test::learned_state_of(3);
   state.endpoints[1].by_class.assign(1000, state.endpoints[1].by_class[0]);
 
--- a/src/hot_restart/socket_pair.h
+++ b/src/hot_restart/socket_pair.h
@@ -1,4 +1,4 @@
-// Pairs of connected sockets for this folder's tests. Linked into no program.
+// Pairs of connected sockets. Only for the tests of src/hot_restart.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/src/hot_restart/takeover.cpp
+++ b/src/hot_restart/takeover.cpp
@@ -22,25 +22,25 @@
 
 double monotonic_now_s() { return double(g_get_monotonic_time()) * 1e-6; }
 
-enum class ConnectStatus { Connected, NobodyListens, TryLater };
+enum class ConnectStatus { Connected, NoListener, TryLater };
 
-// Unix sockets connect at once or not at all.
+// A connect to a Unix socket succeeds or fails immediately; it is never in progress.
 ConnectStatus connect_once(const ControlAddress& address, Ref<GSocket>& socket) {
   if (!socket) socket = create_control_socket();
   if (!socket || address.is_temporarily_unavailable()) return ConnectStatus::TryLater;
   sockaddr_un native{};
   if (!g_socket_address_to_native(address.address(), &native, sizeof native, nullptr)) {
-    return ConnectStatus::NobodyListens;
+    return ConnectStatus::NoListener;
   }
   const auto size = socklen_t(g_socket_address_get_native_size(address.address()));
   const int connected = retry_on_eintr([&] {
     return ::connect(g_socket_get_fd(socket.get()), reinterpret_cast<const sockaddr*>(&native), size);
   });
   if (connected == 0 || errno == EISCONN) return ConnectStatus::Connected;
-  return errno == EINTR || is_local_shortage(errno) ? ConnectStatus::TryLater : ConnectStatus::NobodyListens;
+  return errno == EINTR || is_local_shortage(errno) ? ConnectStatus::TryLater : ConnectStatus::NoListener;
 }
 
-// Appends a part to the list that the earlier parts have made.
+// Appends a part of the endpoint list to the parts received before.
 void append_part(std::optional<EndpointList>& list, EndpointList part) {
   if (!list) {
     list = std::move(part);
@@ -56,7 +56,7 @@
                                part.stated_start_ms.end());
 }
 
-// One request to the predecessor, from connecting to the last message of the snapshot. Blocks.
+// One takeover, from connecting to the predecessor to the last message of the snapshot. Blocks.
 class TakeoverRequest {
  public:
   TakeoverRequest(const std::string& path, double timeout_s)
@@ -82,7 +82,7 @@
   void connect() {
     switch (connect_once(ControlAddress(path_), takeover_.predecessor)) {
       case ConnectStatus::Connected: move_to(State::Receiving); return;
-      case ConnectStatus::NobodyListens: fail(TakeoverError::NoPredecessor); return;
+      case ConnectStatus::NoListener: fail(TakeoverError::NoPredecessor); return;
       case ConnectStatus::TryLater: break;
     }
     if (monotonic_now_s() < deadline_s_) {
@@ -111,7 +111,7 @@
   bool is_readable_within(double timeout_s) const {
     pollfd polled{g_socket_get_fd(takeover_.predecessor.get()), POLLIN, 0};
     const int ready = poll(&polled, 1, int(timeout_s * 1000) + 1);
-    // A signal came, or the system had no memory for the call.
+    // The call was interrupted by a signal, or the system is out of memory.
     if (ready < 0) g_usleep(kRetryPauseMicroseconds);
     return ready > 0;
   }
@@ -134,7 +134,7 @@
   }
   void on_message(ListenerMessage&, Packet& packet) { takeover_.listener = std::move(packet.socket); }
   void on_message(SnapshotCompleteMessage&, Packet&) { move_to(State::Complete); }
-  // Not part of the snapshot.
+  // Ignored: not part of the snapshot.
   void on_message(ConnectionMessage&, Packet&) {}
   void on_message(ServingMessage&, Packet&) {}
   void on_message(LearnedStateMessage&, Packet&) {}
--- a/src/hot_restart/takeover.h
+++ b/src/hot_restart/takeover.h
@@ -1,4 +1,5 @@
-// The successor's side of a takeover before it serves: asks its predecessor for all that it needs to start.
+// The successor's side of a takeover, before it serves: requests from its predecessor everything that it
+// needs to start.
 #pragma once
 
 #include <optional>
@@ -12,27 +13,28 @@
 
 namespace puffinvane {
 
-// What a successor gets from its predecessor before it starts.
+// What a successor receives from its predecessor before it starts.
 struct Takeover {
-  Ref<GSocket> predecessor;          // the control channel; null: there is no predecessor
-  Ref<GSocket> listener;             // null if the predecessor could not pass its own on
+  Ref<GSocket> predecessor;          // the socket of the control channel; null if there is no predecessor
+  Ref<GSocket> listener;             // null if the predecessor could not pass on its listener
   std::optional<EndpointList> list;  // unset if the predecessor sent none
   OperatorOverrides overrides;
 };
 
 enum class TakeoverError {
-  NoPredecessor,  // nobody listens at the control path
-  Unreachable,    // local resources did not suffice to connect in time
-  Silent,         // the predecessor did not send everything in time
-  Disconnected,   // the predecessor ended before it had sent everything
-  InvalidMessage  // the predecessor sent what this version can't decode
+  NoPredecessor,  // no process listens at the control socket path
+  Unreachable,    // a lack of local resources prevented connecting until the timeout
+  Silent,         // the predecessor did not send everything before the timeout
+  Disconnected,   // the predecessor closed the connection before it had sent everything
+  InvalidMessage  // the predecessor sent a message that this version can't decode
 };
 
-// A stable name for logs.
+// The stable name of an error in log events.
 std::string_view to_string(TakeoverError error);
 
-// Asks the process that listens at the control path, if any. Blocks for `timeout_s` seconds at most, as
-// nothing is served yet. On an error the process starts alone.
+// Connects to the process that listens at the control socket path, if any, and receives its snapshot. May
+// block for `timeout_s` seconds, as this process doesn't serve yet. On an error the caller starts without a
+// predecessor.
 Result<Takeover, TakeoverError> request_takeover(const std::string& path, double timeout_s);
 
 }  // namespace puffinvane
--- a/src/hot_restart/takeover_test.cpp
+++ b/src/hot_restart/takeover_test.cpp
@@ -1,5 +1,5 @@
-// A successor's request to a stand-in for its predecessor, which sends packets of choice and goes away or
-// stays.
+// A successor's takeover from a stand-in for its predecessor, which sends given packets and then disconnects,
+// or sends nothing.
 #include "src/hot_restart/takeover.h"
 
 #include <gtest/gtest.h>
@@ -72,14 +72,14 @@
   EXPECT_EQ(requested.error(), TakeoverError::NoPredecessor);
 }
 
-TEST_F(TakeoverTest, FindsNoPredecessorWhereNobodyListens) {
+TEST_F(TakeoverTest, FindsNoPredecessorIfNoProcessListens) {
   const auto requested = request_takeover(folder_.path(), kTimeoutSeconds);
 
   ASSERT_FALSE(requested.has_value());
   EXPECT_EQ(requested.error(), TakeoverError::NoPredecessor);
 }
 
-TEST_F(TakeoverTest, FindsNoPredecessorAtAFileOfAnotherKind) {
+TEST_F(TakeoverTest, FindsNoPredecessorAtAFileThatIsNotASocket) {
   std::fclose(std::fopen(folder_.path().c_str(), "w"));
 
   const auto requested = request_takeover(folder_.path(), kTimeoutSeconds);
@@ -97,11 +97,11 @@
   EXPECT_EQ(requested.error(), TakeoverError::Silent);
 }
 
-TEST_F(TakeoverTest, FailsWhenThePredecessorEndsAtOnce) {
+TEST_F(TakeoverTest, FailsIfThePredecessorDisconnectsAtOnce) {
   EXPECT_EQ(error_after({}), TakeoverError::Disconnected);
 }
 
-TEST_F(TakeoverTest, FailsWhenThePredecessorEndsWithinTheSnapshot) {
+TEST_F(TakeoverTest, FailsIfThePredecessorDisconnectsDuringTheSnapshot) {
   EXPECT_EQ(error_after(encode_endpoint_list(test::endpoint_list_of(3))), TakeoverError::Disconnected);
 }
 
@@ -109,7 +109,7 @@
   EXPECT_EQ(error_after({R"({"format":9,"say":"whole"})"}), TakeoverError::InvalidMessage);
 }
 
-TEST_F(TakeoverTest, JoinsTheListThatCameInParts) {
+TEST_F(TakeoverTest, JoinsTheListReceivedInParts) {
   const EndpointList sent = test::endpoint_list_of(1201);
   std::vector<std::string> packets = encode_endpoint_list(sent);
   ASSERT_GT(packets.size(), 1u);
@@ -130,7 +130,7 @@
   EXPECT_TRUE(list.has_start_times);
 }
 
-TEST_F(TakeoverTest, GivesTheOperatorOverrides) {
+TEST_F(TakeoverTest, ReturnsTheOperatorOverrides) {
   const OperatorOverridesMessage message{test::quoted_overrides()};
   const StandInPredecessor predecessor(folder_.path(), {encode_message(message), snapshot_complete()});
 
@@ -143,7 +143,7 @@
   EXPECT_NE(requested.value().predecessor, nullptr);
 }
 
-TEST_F(TakeoverTest, SkipsMessagesThatAreNoPartOfTheSnapshot) {
+TEST_F(TakeoverTest, SkipsMessagesThatAreNotPartOfTheSnapshot) {
   const std::vector<std::string> packets = {encode_message(ServingMessage{}),
                                             encode_message(ConnectionMessage{}),
                                             encode_message(LearnedStateMessage{}), snapshot_complete()};
--- a/src/hot_restart/wire_format.h
+++ b/src/hot_restart/wire_format.h
@@ -1,5 +1,6 @@
-// The words of the control channel's packets, which are JSON objects. Encoder and decoder share them, and
-// nothing else reads them. Any change needs another kFormat, which processes of other versions refuse.
+// The keys and values in the control channel's packets, which are JSON objects. Only the encoder and the
+// decoder use them. Any change requires another kFormat, and processes that use a different kFormat refuse
+// such packets.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,8 @@
 inline constexpr std::string_view kServingType = "serving";
 inline constexpr std::string_view kLearnedStateType = "learned";
 
-// Endpoint list. `list` is a list as discovery sends it, with two more fields on the monotonic clock.
+// Endpoint list. `list` has the form of discovery's lists and two additional fields, which are monotonic
+// times: when the list was received and, in each endpoint, when that started.
 inline constexpr const char* kListKey = "list";
 inline constexpr const char* kEndpointsKey = "endpoints";
 inline constexpr const char* kListReceivedAtKey = "heard_at";
@@ -43,7 +45,7 @@
 inline constexpr const char* kLatenessKey = "late";
 inline constexpr const char* kCompletionRatesKey = "rates";
 inline constexpr const char* kStartedAtKey = "started";
-// The clock of the endpoints' start times. Former versions send Unix time and no such field.
+// The clock of the endpoints' start times. Former versions omit this field and send Unix time.
 inline constexpr const char* kClockKey = "clock";
 inline constexpr const char* kMonotonicClock = "monotonic";
 
