--- a/src/discovery/discovery_watch_start_times_test.cpp
+++ b/src/discovery/discovery_watch_start_times_test.cpp
@@ -44,15 +44,15 @@
   double last_blank_line_at = 0;
 
   events.run_during([&] {
-    Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+    TestConnection watch = answer_call(discovery, "0", http_chunk(snapshot_line(1)));
     for (int i = 0; i < 5; ++i) {
-      EXPECT_FALSE(watch.ended(1));
+      EXPECT_FALSE(watch.ends_within(1));
       last_blank_line_at = now();
-      watch.say(chunk("\n"));
+      watch.send_text(http_chunk("\n"));
     }
-    EXPECT_FALSE(watch.ended(0.2));
-    watch.say(chunk(snapshot_line_with_start(2, unix_time(kWallClockAheadSeconds))));
-    EXPECT_FALSE(watch.ended(0.3));
+    EXPECT_FALSE(watch.ends_within(0.2));
+    watch.send_text(http_chunk(snapshot_line_with_start(2, unix_time(kWallClockAheadSeconds))));
+    EXPECT_FALSE(watch.ends_within(0.3));
   });
 
   ASSERT_EQ(owner.received_at_s().size(), 2u);
@@ -70,11 +70,11 @@
   WatchOwner owner(events.loop(), discovery.address, 7, DiscoveryMode::OnRequest);
 
   events.run_during([&] {
-    Line watch = take_call(discovery);
+    TestConnection watch = take_call(discovery);
     double stated_now = unix_time(kWallClockAheadSeconds);
-    watch.say(response_head_with_date(stated_now) +
-              chunk(snapshot_line_with_start(1, unix_time(kWallClockAheadSeconds) - kAgeSeconds)));
-    EXPECT_FALSE(watch.ended(0.3));
+    watch.send_text(response_head_with_date(stated_now) +
+                    http_chunk(snapshot_line_with_start(1, unix_time(kWallClockAheadSeconds) - kAgeSeconds)));
+    EXPECT_FALSE(watch.ends_within(0.3));
   });
 
   ASSERT_EQ(owner.received_at_s().size(), 1u);
--- a/src/discovery/discovery_watch_test.cpp
+++ b/src/discovery/discovery_watch_test.cpp
@@ -26,12 +26,12 @@
                                  "\n";
 
   std::size_t list_count = count_lists([&](Listener& discovery) {
-    EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(4))).ended());
-    EXPECT_TRUE(answer_call(discovery, "4", "").ended());  // its head says all
-    Line watch = answer_call(discovery, "4", chunk(no_changes));
-    watch.say(chunk(change_line(6)));
-    EXPECT_TRUE(watch.ended());
-    EXPECT_TRUE(answer_call(discovery, "4", chunk(change_line(6))).ended());
+    EXPECT_TRUE(answer_call(discovery, "0", http_chunk(snapshot_line(4))).ends_within());
+    EXPECT_TRUE(answer_call(discovery, "4", "").ends_within());  // its head says all
+    TestConnection watch = answer_call(discovery, "4", http_chunk(no_changes));
+    watch.send_text(http_chunk(change_line(6)));
+    EXPECT_TRUE(watch.ends_within());
+    EXPECT_TRUE(answer_call(discovery, "4", http_chunk(change_line(6))).ends_within());
     answer_call(discovery, "6", "");
   });
 
@@ -40,13 +40,13 @@
 
 TEST(DiscoveryWatch, AsksForTheFullListAfterSilenceAnIndexThatWentBackAndInvalidJson) {
   std::size_t list_count = count_lists([](Listener& discovery) {
-    EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(4))).ended());
-    EXPECT_TRUE(take_call(discovery).ended());
-    EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(5))).ended());
-    EXPECT_TRUE(answer_call(discovery, "5", chunk(change_line(3))).ended(1));
-    EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(3))).ended());
-    EXPECT_TRUE(answer_call(discovery, "3", chunk("{]\n")).ended(1));
-    answer_call(discovery, "0", chunk(snapshot_line(3)));
+    EXPECT_TRUE(answer_call(discovery, "0", http_chunk(snapshot_line(4))).ends_within());
+    EXPECT_TRUE(take_call(discovery).ends_within());
+    EXPECT_TRUE(answer_call(discovery, "0", http_chunk(snapshot_line(5))).ends_within());
+    EXPECT_TRUE(answer_call(discovery, "5", http_chunk(change_line(3))).ends_within(1));
+    EXPECT_TRUE(answer_call(discovery, "0", http_chunk(snapshot_line(3))).ends_within());
+    EXPECT_TRUE(answer_call(discovery, "3", http_chunk("{]\n")).ends_within(1));
+    answer_call(discovery, "0", http_chunk(snapshot_line(3)));
   });
 
   EXPECT_EQ(list_count, 4u);
@@ -55,11 +55,11 @@
 // Some discoveries answer each call with the full list.
 TEST(DiscoveryWatch, ReportsAFullListThatIsHeldOnlyAfterAChange) {
   std::size_t list_count = count_lists([](Listener& discovery) {
-    EXPECT_TRUE(answer_call(discovery, "0", chunk(snapshot_line(4))).ended());
-    Line watch = answer_call(discovery, "4", chunk(snapshot_line(4)));
-    watch.say(chunk(change_line(5)));
-    EXPECT_TRUE(watch.ended());
-    answer_call(discovery, "4", chunk(snapshot_line(4)));  // takes the change back
+    EXPECT_TRUE(answer_call(discovery, "0", http_chunk(snapshot_line(4))).ends_within());
+    TestConnection watch = answer_call(discovery, "4", http_chunk(snapshot_line(4)));
+    watch.send_text(http_chunk(change_line(5)));
+    EXPECT_TRUE(watch.ends_within());
+    answer_call(discovery, "4", http_chunk(snapshot_line(4)));  // takes the change back
   });
 
   EXPECT_EQ(list_count, 3u);
--- a/src/discovery/discovery_watch_timeouts_test.cpp
+++ b/src/discovery/discovery_watch_timeouts_test.cpp
@@ -16,13 +16,13 @@
 constexpr double kMaxChangeDelaySeconds = 6;
 
 // Sends a list in 12 pieces, one each 0.1 s, and leaves the call open for 0.3 s.
-void send_slowly(Line& call, const std::string& list) {
+void send_slowly(TestConnection& call, const std::string& list) {
   std::size_t piece_size = list.size() / 12 + 1;
   for (std::size_t begin = 0; begin < list.size(); begin += piece_size) {
-    call.say(chunk(list.substr(begin, piece_size)));
-    if (call.ended(0.1)) return;
+    call.send_text(http_chunk(list.substr(begin, piece_size)));
+    if (call.ends_within(0.1)) return;
   }
-  call.ended(0.3);
+  call.ends_within(0.3);
 }
 
 // The list takes longer than a list usually may: cut at each timeout, it would never be received.
@@ -33,10 +33,10 @@
   std::atomic<bool> is_over = false;
   std::thread answers([&] {
     while (!is_over) {
-      if (!discovery.connection_waits(0.1)) continue;
-      Line call = discovery.take();
-      if (!call.hear(HttpReader::Side::Request)) continue;  // the test was over by then
-      call.say(kResponseHead);
+      if (!discovery.has_connection_within(0.1)) continue;
+      TestConnection call = discovery.accept_connection();
+      if (!call.receive_message(HttpReader::Side::Request)) continue;  // the test was over by then
+      call.send_text(kResponseHead);
       send_slowly(call, snapshot_line(1));
     }
   });
@@ -58,10 +58,10 @@
 
   events.run_beside(
       [&] {
-        Line silent = take_call(discovery);
-        has_ended = silent.ended(2);
-        is_next_waiting = has_ended && discovery.connection_waits(0.1);
-        take_call(discovery).say(kResponseHead + chunk(snapshot_line(1)));
+        TestConnection silent = take_call(discovery);
+        has_ended = silent.ends_within(2);
+        is_next_waiting = has_ended && discovery.has_connection_within(0.1);
+        take_call(discovery).send_text(kResponseHead + http_chunk(snapshot_line(1)));
       },
       2.5);
 
@@ -78,12 +78,13 @@
 
   events.run_beside(
       [&] {
-        Line watch = take_call(discovery);
-        watch.say(kResponseHead);
-        for (int i = 0; i < 30 && !discovery.connection_waits(0.1); ++i) watch.say(chunk("\n"));
-        Line next = take_call(discovery);
-        next.say(kResponseHead + chunk(snapshot_line(1)));
-        next.ended(0.2);
+        TestConnection watch = take_call(discovery);
+        watch.send_text(kResponseHead);
+        for (int i = 0; i < 30 && !discovery.has_connection_within(0.1); ++i)
+          watch.send_text(http_chunk("\n"));
+        TestConnection next = take_call(discovery);
+        next.send_text(kResponseHead + http_chunk(snapshot_line(1)));
+        next.ends_within(0.2);
       },
       3.5);
 
@@ -101,13 +102,13 @@
 
   events.run_beside(
       [&] {
-        Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+        TestConnection watch = answer_call(discovery, "0", http_chunk(snapshot_line(1)));
         silent_since = now();
         is_watch_ended = refuse_connection_after(discovery, watch, 4);
-        EXPECT_TRUE(take_call(discovery).ended(3));
-        Line last = take_call(discovery);
-        last.say(kResponseHead + chunk(snapshot_line(2)));
-        last.ended(0.2);
+        EXPECT_TRUE(take_call(discovery).ends_within(3));
+        TestConnection last = take_call(discovery);
+        last.send_text(kResponseHead + http_chunk(snapshot_line(2)));
+        last.ends_within(0.2);
       },
       7.5);
 
@@ -129,17 +130,17 @@
 
   events.run_beside(
       [&] {
-        Line call = take_call(discovery);
-        call.ended(kTurnSeconds);
-        call.say(kResponseHead);
+        TestConnection call = take_call(discovery);
+        call.ends_within(kTurnSeconds);
+        call.send_text(kResponseHead);
         const std::string list = snapshot_line(1);
         const std::size_t piece_size = list.size() / kPieces + 1;
         for (std::size_t begin = 0; begin < list.size(); begin += piece_size) {
-          call.say(chunk(list.substr(begin, piece_size)));
-          call.ended(0.12);
+          call.send_text(http_chunk(list.substr(begin, piece_size)));
+          call.ends_within(0.12);
         }
-        call.ended(1);
-        EXPECT_FALSE(discovery.connection_waits(0));
+        call.ends_within(1);
+        EXPECT_FALSE(discovery.has_connection_within(0));
       },
       4);
 
@@ -156,13 +157,13 @@
   double changed_at = 0;
 
   events.run_during([&] {
-    Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+    TestConnection watch = answer_call(discovery, "0", http_chunk(snapshot_line(1)));
     changed_at = now();
     EXPECT_TRUE(refuse_connection_after(discovery, watch));
-    Line head_only = answer_call(discovery, "1", "");
+    TestConnection head_only = answer_call(discovery, "1", "");
     EXPECT_TRUE(refuse_connection_after(discovery, head_only));
-    EXPECT_TRUE(take_call(discovery).ended());
-    answer_call(discovery, "0", chunk(snapshot_line(2))).ended(0.2);
+    EXPECT_TRUE(take_call(discovery).ends_within());
+    answer_call(discovery, "0", http_chunk(snapshot_line(2))).ends_within(0.2);
   });
 
   ASSERT_EQ(owner.received_at_s().size(), 2u);
--- a/testing/answering.h
+++ b/testing/answering.h
@@ -10,11 +10,11 @@
 namespace puffinvane::test {
 
 // An endpoint that answers all that comes, from a thread for each connection.
-class Answering {
+class AnsweringEndpoint {
  public:
-  explicit Answering(int last, std::string answer = ok("x"))
+  explicit AnsweringEndpoint(int last, std::string answer = ok_response("x"))
       : listener(last, 512), answer_(std::move(answer)), accepting_([this] { accept(); }) {}
-  ~Answering() {
+  ~AnsweringEndpoint() {
     over_ = true;
     accepting_.join();
     for (std::thread& one : serving_) one.join();
@@ -25,24 +25,24 @@
  private:
   void accept() {
     while (!over_) {
-      if (listener.connection_waits(0.02))
-        serving_.emplace_back([this, line = listener.take()]() mutable { serve(line); });
+      if (listener.has_connection_within(0.02))
+        serving_.emplace_back([this, line = listener.accept_connection()]() mutable { serve(line); });
     }
   }
-  void serve(Line& line) {
+  void serve(TestConnection& line) {
     ++open, ++opened;
     while (answer(line)) {
     }
     --open;
   }
-  bool answer(Line& line) {
+  bool answer(TestConnection& line) {
     for (;;) {
       if (over_) return false;
-      if (!line.anything(0.02)) continue;
-      if (!line.hear(HttpReader::Side::Request)) return false;
+      if (!line.has_input_within(0.02)) continue;
+      if (!line.receive_message(HttpReader::Side::Request)) return false;
       sleep_for(0.005);
       ++served;
-      return line.say(answer_);
+      return line.send_text(answer_);
     }
   }
   const std::string answer_;
--- a/testing/discovery_stand_ins.h
+++ b/testing/discovery_stand_ins.h
@@ -26,13 +26,13 @@
 // A line with the endpoint "a" and nothing else.
 inline std::string snapshot_line(int index) {
   return R"({"index":)" + std::to_string(index) + R"(,"snapshot":true,"endpoints":[)" +
-         entry("a", "127.0.0.1:1") + "]}\n";
+         list_entry_json("a", "127.0.0.1:1") + "]}\n";
 }
 
 // A line with a change of "b".
 inline std::string change_line(int index) {
   return R"({"index":)" + std::to_string(index) + R"(,"snapshot":false,"endpoints":[)" +
-         entry("b", "127.0.0.1:" + std::to_string(index)) + "]}\n";
+         list_entry_json("b", "127.0.0.1:" + std::to_string(index)) + "]}\n";
 }
 
 // An event loop that runs until something has happened, or for a time.
@@ -105,24 +105,25 @@
 };
 
 // Takes the next call, which has to ask after that index, and answers it.
-inline Line answer_call(Listener& discovery, const std::string& after, const std::string& chunks) {
-  std::pair<Line, HttpMessage> call = discovery.take_request();
+inline TestConnection answer_call(Listener& discovery, const std::string& after, const std::string& chunks) {
+  std::pair<TestConnection, HttpMessage> call = discovery.accept_request();
   EXPECT_EQ(call.second.target, "/v1/servers?watch=1&after=" + after);
-  Line line = std::move(call.first);
-  line.say(kResponseHead + chunks);
+  TestConnection line = std::move(call.first);
+  line.send_text(kResponseHead + chunks);
   return line;
 }
 
 // Takes the next call and says nothing.
-inline Line take_call(Listener& discovery) { return discovery.take_request().first; }
+inline TestConnection take_call(Listener& discovery) { return discovery.accept_request().first; }
 
 // Fills the backlog of a listener that has room for one, so that the next connection does not come up, for
 // 0.2 s after `call` has ended.
-inline bool refuse_connection_after(Listener& discovery, Line& call, double call_ends_within_s = 3) {
-  Line filling(discovery.address);
-  bool has_ended = call.ended(call_ends_within_s);
-  EXPECT_FALSE(filling.ended(0.2));
-  discovery.take();
+inline bool refuse_connection_after(Listener& discovery, TestConnection& call,
+                                    double call_ends_within_s = 3) {
+  TestConnection filling(discovery.address);
+  bool has_ended = call.ends_within(call_ends_within_s);
+  EXPECT_FALSE(filling.ends_within(0.2));
+  discovery.accept_connection();
   return has_ended;
 }
 
--- a/testing/faults/fault_injection_test.cpp
+++ b/testing/faults/fault_injection_test.cpp
@@ -27,11 +27,11 @@
 
 int a_socket() { return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0); }
 
-bool the_second_of_three_sockets_fails() {
+bool second_of_three_sockets_fails() {
   return a_socket() >= 0 && fails_with(a_socket(), ENFILE) && a_socket() >= 0;
 }
 
-bool each_third_send_fails_on_tcp_alone() {
+bool every_third_send_fails_on_tcp_only() {
   int pair[2];
   if (socketpair(AF_UNIX, SOCK_STREAM, 0, pair) != 0) return false;
   for (int i = 0; i < 6; ++i) {
@@ -44,7 +44,7 @@
   return true;
 }
 
-bool streams_are_short_and_packets_whole() {
+bool stream_transfers_are_short_and_packets_are_complete() {
   char bytes[8];
   int stream[2], packets[2];
   if (socketpair(AF_UNIX, SOCK_STREAM, 0, stream) != 0) return false;
@@ -59,7 +59,7 @@
   return double(now.tv_sec) + double(now.tv_nsec) * 1e-9;
 }
 
-bool the_wall_clock_is_an_hour_ahead_and_then_two() {
+bool wall_clock_is_one_hour_ahead_and_then_two() {
   timespec now{};
   clock_gettime(CLOCK_MONOTONIC, &now);
   double began = wall() - (double(now.tv_sec) + double(now.tv_nsec) * 1e-9);
@@ -75,7 +75,7 @@
 }
 
 // Until a call fails and then succeeds again; who started it changes the file.
-bool the_file_is_looked_at() {
+bool schedule_file_is_reread() {
   for (int i = 0; i < 3000; ++i) {
     int made = a_socket();
     if (made < 0) return errno == EMFILE;
@@ -85,7 +85,7 @@
   return false;
 }
 
-bool a_schedule_by_chance_is_drawn_from_its_seed() {
+bool random_schedule_is_drawn_from_its_seed() {
   int failed = 0;
   for (int i = 0; i < 1000; ++i) {
     int made = a_socket();
@@ -95,7 +95,7 @@
   return failed > 250 && failed < 350;
 }
 
-bool a_close_that_fails_has_closed() {
+bool failing_close_still_closes() {
   int made = a_socket();
   return fails_with(close(made), EIO) && fails_with(close(made), EBADF);
 }
@@ -106,13 +106,13 @@
 } const kParts[] = {
 #define PART(name) \
   { #name, name }
-    PART(the_second_of_three_sockets_fails),
-    PART(each_third_send_fails_on_tcp_alone),
-    PART(streams_are_short_and_packets_whole),
-    PART(the_wall_clock_is_an_hour_ahead_and_then_two),
-    PART(the_file_is_looked_at),
-    PART(a_schedule_by_chance_is_drawn_from_its_seed),
-    PART(a_close_that_fails_has_closed)
+    PART(second_of_three_sockets_fails),
+    PART(every_third_send_fails_on_tcp_only),
+    PART(stream_transfers_are_short_and_packets_are_complete),
+    PART(wall_clock_is_one_hour_ahead_and_then_two),
+    PART(schedule_file_is_reread),
+    PART(random_schedule_is_drawn_from_its_seed),
+    PART(failing_close_still_closes)
 #undef PART
 };
 
@@ -140,35 +140,37 @@
   assert(status == 0);
 }
 
-void a_call_fails_as_scheduled() {
-  plays("socket ENFILE n=2", "the_second_of_three_sockets_fails");
-  plays("# a remark\nsocket ENFILE from=2 to=2", "the_second_of_three_sockets_fails");
-  plays("sendto ENOBUFS each=3 only=tcp", "each_third_send_fails_on_tcp_alone");
-  plays("socket ENOMEM odds=0.3; seed 9", "a_schedule_by_chance_is_drawn_from_its_seed");
-  plays("close EIO only=tcp n=1", "a_close_that_fails_has_closed");
+void calls_fail_as_scheduled() {
+  plays("socket ENFILE n=2", "second_of_three_sockets_fails");
+  plays("# a remark\nsocket ENFILE from=2 to=2", "second_of_three_sockets_fails");
+  plays("sendto ENOBUFS each=3 only=tcp", "every_third_send_fails_on_tcp_only");
+  plays("socket ENOMEM odds=0.3; seed 9", "random_schedule_is_drawn_from_its_seed");
+  plays("close EIO only=tcp n=1", "failing_close_still_closes");
 }
 
-void a_call_is_short() { plays("send short=2; recv short=1", "streams_are_short_and_packets_whole"); }
+void transfers_are_short_as_scheduled() {
+  plays("send short=2; recv short=1", "stream_transfers_are_short_and_packets_are_complete");
+}
 
-void the_wall_clock_is_stepped() {
-  plays("clock +3600; clock 3600 at=0.2", "the_wall_clock_is_an_hour_ahead_and_then_two");
+void wall_clock_is_stepped_as_scheduled() {
+  plays("clock +3600; clock 3600 at=0.2", "wall_clock_is_one_hour_ahead_and_then_two");
 }
 
-void a_schedule_is_changed_while_the_program_runs() {
+void schedule_can_be_changed_while_the_program_runs() {
   Faults faults(library);
-  pid_t child = start(faults, "the_file_is_looked_at");
+  pid_t child = start(faults, "schedule_file_is_reread");
   assert(faults.played("socket EMFILE") == 0);
   faults.change("socket EMFILE");
   assert(status_of(child) == 0);
   assert(faults.played("socket EMFILE") == 1);
 }
 
-void a_schedule_that_cannot_be_read_is_refused() {
+void invalid_schedule_is_rejected() {
   constexpr int kBadSchedule = 97;
   for (const char* schedule :
        {"sokcet ENFILE", "socket ENOFILE", "socket ENFILE n=x", "socket", "clock soon"}) {
     Faults faults(library, schedule);
-    assert(status_of(start(faults, "the_second_of_three_sockets_fails")) == kBadSchedule);
+    assert(status_of(start(faults, "second_of_three_sockets_fails")) == kBadSchedule);
   }
 }
 
@@ -186,10 +188,10 @@
   assert(count == 2);
   own_path = "/proc/self/exe";
   library = words[1];
-  a_call_fails_as_scheduled();
-  a_call_is_short();
-  the_wall_clock_is_stepped();
-  a_schedule_is_changed_while_the_program_runs();
-  a_schedule_that_cannot_be_read_is_refused();
+  calls_fail_as_scheduled();
+  transfers_are_short_as_scheduled();
+  wall_clock_is_stepped_as_scheduled();
+  schedule_can_be_changed_while_the_program_runs();
+  invalid_schedule_is_rejected();
   std::printf("all faults are played as scheduled\n");
 }
--- a/testing/faults/faults.h
+++ b/testing/faults/faults.h
@@ -33,7 +33,7 @@
     std::remove((file_ + ".played").c_str());
   }
 
-  // For the program, before it starts (Running::Options::environment).
+  // For the program, before it starts (SidecarProcess::Options::environment).
   Environment environment() const {
     return {{"LD_PRELOAD", library_},
             {"PUFFINVANE_FAULTS", from_start_},
--- a/testing/peers.h
+++ b/testing/peers.h
@@ -32,7 +32,7 @@
 inline void sleep_for(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
 // A connection to an endpoint is used again once nothing more has come on it for a while.
-inline void settle() { sleep_for(0.05); }
+inline void wait_until_reusable() { sleep_for(0.05); }
 
 inline sockaddr_in address_of(const std::string& text) {
   sockaddr_in made{};
@@ -44,37 +44,38 @@
 }
 
 // A blocking socket that gives up after three seconds.
-class Line {
+class TestConnection {
  public:
-  explicit Line(int descriptor) : descriptor_(descriptor) {
+  explicit TestConnection(int descriptor) : descriptor_(descriptor) {
     timeval most{3, 0};
     setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
   }
-  explicit Line(const std::string& to) : Line(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit TestConnection(const std::string& to)
+      : TestConnection(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in address = address_of(to);
     int small = 4096;  // so that an answer of 64 KiB can't be written in one go
     setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
     connected = connect(descriptor_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
   }
-  Line(Line&& other) noexcept
+  TestConnection(TestConnection&& other) noexcept
       : connected(other.connected),
         descriptor_(std::exchange(other.descriptor_, -1)),
         held_(std::move(other.held_)) {}
-  Line& operator=(Line&& other) noexcept {
+  TestConnection& operator=(TestConnection&& other) noexcept {
     std::swap(descriptor_, other.descriptor_), std::swap(held_, other.held_);
     return *this;
   }
-  ~Line() { shut(); }
+  ~TestConnection() { disconnect(); }
 
-  void shut() {
+  void disconnect() {
     if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
   }
   void reset() {
     linger hard{1, 0};
     setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-    shut();
+    disconnect();
   }
-  bool say(const std::string& text) {
+  bool send_text(const std::string& text) {
     std::size_t sent = 0;
     while (sent < text.size()) {
       ssize_t count = send(descriptor_, text.data() + sent, text.size() - sent, MSG_NOSIGNAL);
@@ -84,20 +85,22 @@
     return true;
   }
   // As much of it as the system takes at once.
-  std::size_t say_what_fits(const std::string& text) {
+  std::size_t send_what_fits(const std::string& text) {
     std::size_t sent = 0;
     for (ssize_t count = 1; count > 0 && sent<text.size(); sent += count> 0 ? std::size_t(count) : 0)
       count = send(descriptor_, text.data() + sent, text.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
     return sent;
   }
   // Says it and closes, all in one packet.
-  void say_last(const std::string& text) {
+  void send_and_close(const std::string& text) {
     int yes = 1;
     setsockopt(descriptor_, IPPROTO_TCP, TCP_CORK, &yes, sizeof yes);
-    say(text), shut();
+    send_text(text);
+    disconnect();
   }
   // The next whole message, if one comes.
-  std::optional<HttpMessage> hear(HttpReader::Side side, std::size_t most_body = HttpReader::kMaxBodyBytes) {
+  std::optional<HttpMessage> receive_message(HttpReader::Side side,
+                                             std::size_t most_body = HttpReader::kMaxBodyBytes) {
     HttpReader reader(side, pool(), most_body);
     while (true) {
       held_.erase(0, reader.feed(held_));
@@ -112,12 +115,12 @@
       held_.append(bytes, std::size_t(count));
     }
   }
-  int answer_status() {
-    auto answer = hear(HttpReader::Side::Response);
+  int response_status() {
+    auto answer = receive_message(HttpReader::Side::Response);
     return answer ? answer->status : 0;
   }
   // All that comes until it has that word in it, or ends.
-  std::string text_until(const std::string& word, double within) {
+  std::string receive_until(const std::string& word, double within) {
     std::string text = std::exchange(held_, {});
     for (double until = now() + within; text.find(word) == std::string::npos && now() < until;) {
       char bytes[4096];
@@ -127,7 +130,7 @@
     }
     return text;
   }
-  bool ended(double within = 3) {
+  bool ends_within(double within = 3) {
     pollfd one{descriptor_, POLLIN, 0};
     char byte;
     double until = now() + within;
@@ -138,7 +141,7 @@
     return false;
   }
   // It ends, and not by a reset.
-  bool closed(double within) {
+  bool closes_within(double within) {
     pollfd one{descriptor_, POLLIN, 0};
     char byte;
     for (double until = now() + within; now() < until;) {
@@ -148,11 +151,11 @@
     return false;
   }
   // It is reset; its end alone doesn't count.
-  bool was_reset(double within) const {
+  bool is_reset_within(double within) const {
     pollfd one{descriptor_, 0, 0};
     return poll(&one, 1, int(within * 1000)) > 0 && (one.revents & (POLLERR | POLLHUP));
   }
-  bool anything(double within) const {
+  bool has_input_within(double within) const {
     pollfd one{descriptor_, POLLIN, 0};
     return poll(&one, 1, int(within * 1000)) > 0;
   }
@@ -167,7 +170,7 @@
   std::string held_;
 };
 
-inline std::string here(int last) {
+inline std::string loopback_address(int last) {
   int mine = getpid();  // an address of this run's own, so that runs side by side don't meet
   return "127." + std::to_string(1 + mine / 250 % 250) + "." + std::to_string(mine % 250) + "." +
          std::to_string(last);
@@ -175,7 +178,8 @@
 
 class Listener {
  public:
-  explicit Listener(int last, int backlog = 16) : address(here(last) + ":" + std::to_string(5000 + last)) {
+  explicit Listener(int last, int backlog = 16)
+      : address(loopback_address(last) + ":" + std::to_string(5000 + last)) {
     descriptor_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     int yes = 1;
     setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
@@ -185,18 +189,18 @@
   }
   ~Listener() { close(descriptor_); }
   Listener(const Listener&) = delete;
-  bool connection_waits(double within) const {
+  bool has_connection_within(double within) const {
     pollfd one{descriptor_, POLLIN, 0};
     return poll(&one, 1, int(within * 1000)) > 0;
   }
-  Line take() {
-    assert(connection_waits(3));
-    return Line(accept4(descriptor_, nullptr, nullptr, SOCK_CLOEXEC));
+  TestConnection accept_connection() {
+    assert(has_connection_within(3));
+    return TestConnection(accept4(descriptor_, nullptr, nullptr, SOCK_CLOEXEC));
   }
   // A connection and the request on it.
-  std::pair<Line, HttpMessage> take_request() {
-    Line line = take();
-    auto request = line.hear(HttpReader::Side::Request);
+  std::pair<TestConnection, HttpMessage> accept_request() {
+    TestConnection line = accept_connection();
+    auto request = line.receive_message(HttpReader::Side::Request);
     assert(request);
     return {std::move(line), std::move(*request)};
   }
--- a/testing/queueing_discovery.h
+++ b/testing/queueing_discovery.h
@@ -38,25 +38,25 @@
 
   struct Call {
     double due_at_s;  // its list, or its next blank line
-    Line line;
+    TestConnection line;
     bool has_list = false;
   };
 
   void work() {
     while (!is_over_) {
-      if (listener_.connection_waits(0.002)) queue_or_refuse(take_call(listener_));
+      if (listener_.has_connection_within(0.002)) queue_or_refuse(take_call(listener_));
       for (Call& call : calls_) {
         if (now() >= call.due_at_s) send_line(call);
       }
       if (is_reset_wanted_.exchange(false)) reset_calls_with_list();
     }
   }
-  void queue_or_refuse(Line line) {
+  void queue_or_refuse(TestConnection line) {
     busy_until_s_ = std::max(busy_until_s_, now());
     if (busy_until_s_ - now() > costs_.max_queue_s) {
       busy_until_s_ += costs_.refusal_s;
       ++refused_count_;
-      line.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+      line.send_text("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
       return;
     }
     busy_until_s_ += costs_.answer_s;
@@ -64,8 +64,8 @@
   }
   void send_line(Call& call) {
     call.due_at_s = now() + kBlankLineIntervalSeconds;
-    if (call.has_list) call.line.say(chunk("\n"));
-    else call.line.say(kResponseHead + chunk(snapshot_line(1)));
+    if (call.has_list) call.line.send_text(http_chunk("\n"));
+    else call.line.send_text(kResponseHead + http_chunk(snapshot_line(1)));
     call.has_list = true;
   }
   void reset_calls_with_list() {
--- a/testing/running.h
+++ b/testing/running.h
@@ -15,15 +15,15 @@
 
 namespace puffinvane::test {
 
-inline std::string entry(const std::string& name, const std::string& address,
-                         const std::string& status = "active") {
+inline std::string list_entry_json(const std::string& name, const std::string& address,
+                                   const std::string& status = "active") {
   return R"({"name":")" + name + R"(","address":")" + address + R"(","zone":"z","group":1,"status":")" +
          status + R"(","weight":1,"since_ms":0})";
 }
 
 inline std::string program;  // its path, from the command line
 
-class Running {
+class SidecarProcess {
  public:
   struct Options {
     std::string limits = R"({"sockets":1024,"memory_mb":192})", connect_timeout = "0.1", shadow{}, admin{};
@@ -36,19 +36,19 @@
         environment{};         // more of it, as of testing/faults/faults.h
     std::string rules = "{}";  // of the settings
   };
-  Running(const std::string& known, const std::string& limits, const std::string& connect_timeout = "0.1",
-          const std::string& shadow = "")
-      : Running(
+  SidecarProcess(const std::string& known, const std::string& limits,
+                 const std::string& connect_timeout = "0.1", const std::string& shadow = "")
+      : SidecarProcess(
             known,
             Options{limits, connect_timeout, shadow, "", "1.0", "0.5", "pushed", 0, 0, nullptr, {}, "{}"}) {}
-  explicit Running(const std::string& known) : Running(known, Options()) {}
-  Running(const std::string& known, const Options& options)
-      : listen(here(1) + ":5001"),
+  explicit SidecarProcess(const std::string& known) : SidecarProcess(known, Options()) {}
+  SidecarProcess(const std::string& known, const Options& options)
+      : listen(loopback_address(1) + ":5001"),
         own_discovery_(options.discovery ? nullptr : std::make_unique<Listener>(9)),
         discovery_(options.discovery ? *options.discovery : *own_discovery_),
         folder_("/tmp/puffinvane-" + std::to_string(getpid()) + "-" + std::to_string(options.number)),
-        notified_(rest_of_assignment(known, options)) {
-    assign(discovery_.address);
+        notified_(rest_of_configuration(known, options)) {
+    write_configuration(discovery_.address);
     child_ = fork();
     if (child_ == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that does not hold must not leave it running
@@ -66,8 +66,8 @@
       sleep_for(0.01);
     assert(now() < until);
   }
-  Running(const Running&) = delete;
-  ~Running() {
+  SidecarProcess(const SidecarProcess&) = delete;
+  ~SidecarProcess() {
     if (child_ > 0) kill(child_, SIGKILL), waitpid(child_, nullptr, 0);
     std::remove((folder_ + ".json").c_str());
   }
@@ -86,25 +86,25 @@
            R"(,"RoundS":0.005,"Zone":"z","RegistryMode":")" + registry + R"("})";
   }
   std::string shadow() {
-    Line line(listen);
-    line.say("GET /watch HTTP/1.1\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Response);
+    TestConnection line(listen);
+    line.send_text("GET /watch HTTP/1.1\r\n\r\n");
+    auto answer = line.receive_message(HttpReader::Side::Response);
     return answer && answer->status == 200 ? answer->body.text() : "";
   }
-  void assign(const std::string& discovery_at) {
+  void write_configuration(const std::string& discovery_at) {
     std::ofstream(folder_ + ".json") << R"({"name":"n0","listen":")" << listen << R"(","discovery":")"
                                      << discovery_at << '"' << notified_;
   }
   void reload() { kill(child_, SIGHUP); }
   int status_of(const std::string& request) {
-    Line line(listen);
+    TestConnection line(listen);
     if (!line.connected) return 0;
-    line.say(request);
-    return line.answer_status();
+    line.send_text(request);
+    return line.response_status();
   }
   void terminate() { kill(child_, SIGTERM); }
   template <typename Act>
-  void stall(Act act) {
+  void while_stopped(Act act) {
     kill(child_, SIGSTOP);
     act();
     kill(child_, SIGCONT);
@@ -131,7 +131,7 @@
 
  private:
   // All of the start file that stays as it is when discovery moves: what follows the address.
-  static std::string rest_of_assignment(const std::string& known, const Options& options) {
+  static std::string rest_of_configuration(const std::string& known, const Options& options) {
     return R"(,"seed":"1f","limits":)" + options.limits +
            R"(,"known":{"index":7,"snapshot":true,"endpoints":[)" + known + R"(]},"settings":)" +
            settings("3", options.connect_timeout, options.client_timeout, options.registry,
@@ -146,19 +146,19 @@
   pid_t child_ = 0;
 };
 
-inline std::string get(const std::string& more = "", const std::string& id = "77") {
+inline std::string get_request(const std::string& more = "", const std::string& id = "77") {
   return "GET /read/a?b HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: " + id + "\r\n" + more + "\r\n";
 }
-inline std::string post(const std::string& body, const std::string& more = "") {
+inline std::string post_request(const std::string& body, const std::string& more = "") {
   return "POST /write HTTP/1.1\r\nHost: origin.svc\r\nX-Correlation-Id: 78\r\nContent-Length: " +
          std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
 }
-inline std::string chunk(const std::string& line) {
+inline std::string http_chunk(const std::string& line) {
   char size[16];
   std::snprintf(size, sizeof size, "%zx", line.size());
   return std::string(size) + "\r\n" + line + "\r\n";
 }
-inline std::string ok(const std::string& body) {
+inline std::string ok_response(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 }  // namespace puffinvane::test
--- a/testing/soak_client.h
+++ b/testing/soak_client.h
@@ -14,7 +14,7 @@
 
 namespace puffinvane::test {
 
-// A connection that tells an orderly end from a reset, which Line does not.
+// A connection that tells an orderly end from a reset, which TestConnection does not.
 class SoakConnection {
  public:
   enum class End { Answered, Closed, Reset, Silent };
--- a/testing/soak_endpoint.h
+++ b/testing/soak_endpoint.h
@@ -56,18 +56,18 @@
 
   void accept() {
     while (!is_over_) {
-      if (!listener_.connection_waits(kPollSeconds)) continue;
-      serving_.emplace_back([this, line = listener_.take()]() mutable { serve(line); });
+      if (!listener_.has_connection_within(kPollSeconds)) continue;
+      serving_.emplace_back([this, line = listener_.accept_connection()]() mutable { serve(line); });
     }
   }
-  void serve(Line& line) {
+  void serve(TestConnection& line) {
     while (!is_over_) {
-      if (!line.anything(kPollSeconds)) continue;
-      std::optional<HttpMessage> request = line.hear(HttpReader::Side::Request);
+      if (!line.has_input_within(kPollSeconds)) continue;
+      std::optional<HttpMessage> request = line.receive_message(HttpReader::Side::Request);
       if (!request) return;
       received_.record(std::string(request->header(kRequestIdHeader)));
       sleep_for(response_time_s_);
-      if (!is_hanging_ && !line.say(ok("x"))) return;
+      if (!is_hanging_ && !line.send_text(ok_response("x"))) return;
     }
   }
 
--- a/tests/integration/bulk.cpp
+++ b/tests/integration/bulk.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-const Running::Options kSmall{.limits = R"({"sockets":1024,"memory_mb":48})", .client_timeout = "20.0"};
+const SidecarProcess::Options kSmall{.limits = R"({"sockets":1024,"memory_mb":48})",
+                                     .client_timeout = "20.0"};
 constexpr std::size_t kLong = 8u << 20;
 
 std::string body_of(std::size_t size) {
@@ -43,136 +44,139 @@
   return "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 // All of a message whose body may be as long as it likes.
-std::optional<HttpMessage> hear_long(Line& line, HttpReader::Side side) {
-  return line.hear(side, HttpReader::kMaxStreamedBodyBytes);
+std::optional<HttpMessage> hear_long(TestConnection& line, HttpReader::Side side) {
+  return line.receive_message(side, HttpReader::kMaxStreamedBodyBytes);
 }
 
-void a_long_answer_is_passed_on_while_it_comes() {
+void long_response_is_streamed() {
   Listener endpoint(2);
-  Running sidecar(entry("a", endpoint.address), kSmall);
+  SidecarProcess sidecar(list_entry_json("a", endpoint.address), kSmall);
   std::string body = body_of(kLong);
   for (bool in_chunks : {false, true}) {
-    Line client(sidecar.listen);
-    client.say(get("", in_chunks ? "c" : "l"));
-    auto [attempt, request] = endpoint.take_request();
+    TestConnection client(sidecar.listen);
+    client.send_text(get_request("", in_chunks ? "c" : "l"));
+    auto [attempt, request] = endpoint.accept_request();
     std::string all = "HTTP/1.1 200 OK\r\n" + framed(body, in_chunks, 50001);
-    attempt.say(all.substr(0, 200000));
-    assert(client.anything(1));  // its first bytes, before the endpoint has given the last
-    std::thread rest([&, &line = attempt] { assert(line.say(all.substr(200000))); });
+    attempt.send_text(all.substr(0, 200000));
+    assert(client.has_input_within(1));  // its first bytes, before the endpoint has given the last
+    std::thread rest([&, &line = attempt] { assert(line.send_text(all.substr(200000))); });
     auto answer = hear_long(client, HttpReader::Side::Response);
     rest.join();
     assert(answer && answer->status == 200 && answer->body.text() == body);
     // Both connections are good for more.
-    settle();
-    client.say(get("", in_chunks ? "c2" : "l2"));
-    assert(attempt.hear(HttpReader::Side::Request));
-    attempt.say(ok("x"));
-    assert(client.answer_status() == 200);
-    attempt.shut();
+    wait_until_reusable();
+    client.send_text(get_request("", in_chunks ? "c2" : "l2"));
+    assert(attempt.receive_message(HttpReader::Side::Request));
+    attempt.send_text(ok_response("x"));
+    assert(client.response_status() == 200);
+    attempt.disconnect();
     sleep_for(0.05);
   }
 }
 
-void a_long_answer_that_breaks_is_never_taken_for_whole() {
+void truncated_long_response_is_never_completed() {
   Listener endpoint(2);
-  Running sidecar(entry("a", endpoint.address), kSmall);
+  SidecarProcess sidecar(list_entry_json("a", endpoint.address), kSmall);
   for (bool in_chunks : {false, true}) {
-    Line client(sidecar.listen);
-    client.say(get("", in_chunks ? "c" : "l"));
-    auto [attempt, request] = endpoint.take_request();
+    TestConnection client(sidecar.listen);
+    client.send_text(get_request("", in_chunks ? "c" : "l"));
+    auto [attempt, request] = endpoint.accept_request();
     std::string all = "HTTP/1.1 200 OK\r\n" + framed(body_of(150000), in_chunks, 150000);
-    attempt.say_last(all.substr(0, all.size() - 22));  // all but the last chunk, or as many bytes
-    assert(!hear_long(client, HttpReader::Side::Response) && client.ended(1));
+    attempt.send_and_close(all.substr(0, all.size() - 22));  // all but the last chunk, or as many bytes
+    assert(!hear_long(client, HttpReader::Side::Response) && client.ends_within(1));
   }
 }
 
-void a_long_body_reaches_its_endpoint_whole(std::size_t size) {
+void long_request_body_reaches_the_endpoint_complete(std::size_t size) {
   Listener endpoint(2);
-  Running sidecar(entry("a", endpoint.address), kSmall);
+  SidecarProcess sidecar(list_entry_json("a", endpoint.address), kSmall);
   std::string body = body_of(size);
   for (bool in_chunks : {false, true}) {
-    Line client(sidecar.listen);
+    TestConnection client(sidecar.listen);
     std::string head = "POST /write HTTP/1.1\r\nX-Correlation-Id: " + std::to_string(in_chunks) + "\r\n";
-    std::thread sends([&] { assert(client.say(head + framed(body, in_chunks, 30011))); });
-    Line attempt = endpoint.take();
+    std::thread sends([&] { assert(client.send_text(head + framed(body, in_chunks, 30011))); });
+    TestConnection attempt = endpoint.accept_connection();
     auto request = hear_long(attempt, HttpReader::Side::Request);
     sends.join();
     assert(request && request->body.text() == body);
-    attempt.say(ok("done"));
-    assert(client.answer_status() == 200);
+    attempt.send_text(ok_response("done"));
+    assert(client.response_status() == 200);
   }
 }
 
-void what_was_held_whole_is_retried_and_what_streamed_is_not() {
+void buffered_request_is_retried_and_streamed_one_is_not() {
   for (std::size_t size : {std::size_t{500000}, kLong}) {
     Listener one(2), other(4);
-    Running sidecar(entry("a", one.address) + "," + entry("b", other.address), kSmall);
+    SidecarProcess sidecar(list_entry_json("a", one.address) + "," + list_entry_json("b", other.address),
+                           kSmall);
     std::string body = body_of(size);
-    Line client(sidecar.listen);
-    std::thread sends([&] { client.say(post(body)); });
-    while (!one.connection_waits(0) && !other.connection_waits(0)) sleep_for(0.001);
-    Listener& first = one.connection_waits(0) ? one : other;
+    TestConnection client(sidecar.listen);
+    std::thread sends([&] { client.send_text(post_request(body)); });
+    while (!one.has_connection_within(0) && !other.has_connection_within(0)) sleep_for(0.001);
+    Listener& first = one.has_connection_within(0) ? one : other;
     Listener& second = &first == &one ? other : one;
-    Line attempt = first.take();
-    assert(attempt.anything(1));
+    TestConnection attempt = first.accept_connection();
+    assert(attempt.has_input_within(1));
     if (size > 4000000) {  // more than the system holds for a connection
-      attempt.text_until("never", 0.1);
+      attempt.receive_until("never", 0.1);
       attempt.reset();  // before its last byte was written: it can't have run, but it is gone
-      assert(client.answer_status() == 503 && !second.connection_waits(0.1));
+      assert(client.response_status() == 503 && !second.has_connection_within(0.1));
     } else {
       assert(hear_long(attempt, HttpReader::Side::Request));
-      attempt.say("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-      Line again = second.take();
+      attempt.send_text("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+      TestConnection again = second.accept_connection();
       auto request = hear_long(again, HttpReader::Side::Request);
       assert(request && request->body.text() == body);
-      again.say(ok("done"));
-      assert(client.answer_status() == 200);
+      again.send_text(ok_response("done"));
+      assert(client.response_status() == 200);
     }
-    client.shut();
+    client.disconnect();
     sends.join();
   }
 }
 
-void slow_clients_are_judged_by_their_pace() {
+void slow_uploads_are_judged_by_their_rate() {
   Listener endpoint(2);
-  Running sidecar(entry("a", endpoint.address), kSmall);
-  Line slow(sidecar.listen), dripping(sidecar.listen);
+  SidecarProcess sidecar(list_entry_json("a", endpoint.address), kSmall);
+  TestConnection slow(sidecar.listen), dripping(sidecar.listen);
   std::string head = "POST /write HTTP/1.1\r\nX-Correlation-Id: s\r\nContent-Length: 260000\r\n";
-  slow.say(head.substr(0, 40));
-  dripping.say("POST /write HTTP/1.1\r\nX-Correlation-Id: d\r\nContent-Length: 260000\r\n\r\n");
+  slow.send_text(head.substr(0, 40));
+  dripping.send_text("POST /write HTTP/1.1\r\nX-Correlation-Id: d\r\nContent-Length: 260000\r\n\r\n");
   double since = now();
   sleep_for(2);  // by right
-  slow.say(head.substr(40) + "\r\n");
+  slow.send_text(head.substr(40) + "\r\n");
   bool cut = false;
   for (int i = 0; i < 40; ++i) {
-    assert(slow.say(std::string(6500, 'x')));
-    cut = cut || !dripping.say("x") || dripping.anything(0);
+    assert(slow.send_text(std::string(6500, 'x')));
+    cut = cut || !dripping.send_text("x") || dripping.has_input_within(0);
     sleep_for(0.1);
   }
-  Line attempt = endpoint.take();
+  TestConnection attempt = endpoint.accept_connection();
   auto request = hear_long(attempt, HttpReader::Side::Request);
   assert(request && request->body.size() == 260000 && now() - since > 5.5 && cut);
-  attempt.say(ok("x"));
-  assert(slow.answer_status() == 200);
+  attempt.send_text(ok_response("x"));
+  assert(slow.response_status() == 200);
 }
 
-void many_long_bodies_and_slow_readers_stay_within_the_memory(int count) {
+void unread_long_responses_stay_within_the_memory_limit(int count) {
   Listener endpoint(2, 256);
-  Running sidecar(entry("a", endpoint.address), kSmall);
+  SidecarProcess sidecar(list_entry_json("a", endpoint.address), kSmall);
   const std::string piece = body_of(1u << 20);
   constexpr int kPieces = 32;
   std::vector<std::thread> all;
   std::thread accepts([&] {
     for (int i = 0; i < count; ++i) {
-      all.emplace_back([line = endpoint.take(), &piece]() mutable {
-        if (!line.hear(HttpReader::Side::Request)) return;
-        line.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kPieces * piece.size()) + "\r\n\r\n");
-        for (int k = 0; k < kPieces && line.say(piece);) ++k;
+      all.emplace_back([line = endpoint.accept_connection(), &piece]() mutable {
+        if (!line.receive_message(HttpReader::Side::Request)) return;
+        line.send_text("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kPieces * piece.size()) +
+                       "\r\n\r\n");
+        for (int k = 0; k < kPieces && line.send_text(piece);) ++k;
       });
     }
   });
-  std::vector<Line> clients;
-  for (int i = 0; i < count; ++i) clients.emplace_back(sidecar.listen).say(get("", std::to_string(i)));
+  std::vector<TestConnection> clients;
+  for (int i = 0; i < count; ++i)
+    clients.emplace_back(sidecar.listen).send_text(get_request("", std::to_string(i)));
   accepts.join();
   sleep_for(1);  // nobody reads
   std::size_t peak = resident_kb(sidecar.child());
@@ -183,23 +187,23 @@
   assert(peak < 40 * 1024);
 }
 
-void a_long_answer_cut_at_any_byte_of_its_head_comes_whole() {
+void long_response_split_at_any_byte_of_its_head_is_complete() {
   Listener endpoint(2);
-  Running sidecar(entry("a", endpoint.address), kSmall);
+  SidecarProcess sidecar(list_entry_json("a", endpoint.address), kSmall);
   std::string body = body_of(70000);
   std::string all = "HTTP/1.1 200 OK\r\n" + framed(body, true, 69990);
-  Line client(sidecar.listen);
-  std::optional<Line> attempt;
+  TestConnection client(sidecar.listen);
+  std::optional<TestConnection> attempt;
   for (std::size_t cut = 1; cut < 90; ++cut) {
-    if (attempt) settle();
-    client.say(get("", std::to_string(cut)));
-    if (!attempt) attempt = endpoint.take();
-    assert(attempt->hear(HttpReader::Side::Request));
-    attempt->say(all.substr(0, cut));
+    if (attempt) wait_until_reusable();
+    client.send_text(get_request("", std::to_string(cut)));
+    if (!attempt) attempt = endpoint.accept_connection();
+    assert(attempt->receive_message(HttpReader::Side::Request));
+    attempt->send_text(all.substr(0, cut));
     sleep_for(0.002);
     std::thread rest([&] {
-      attempt->say(all.substr(cut, all.size() - 2 * cut)), sleep_for(0.002),
-          attempt->say(all.substr(all.size() - cut));
+      attempt->send_text(all.substr(cut, all.size() - 2 * cut)), sleep_for(0.002),
+          attempt->send_text(all.substr(all.size() - cut));
     });
     auto answer = hear_long(client, HttpReader::Side::Response);
     rest.join();
@@ -212,12 +216,12 @@
 int main(int count, char** words) {
   assert(count == 2);
   program = words[1];
-  a_long_answer_is_passed_on_while_it_comes();
-  a_long_answer_that_breaks_is_never_taken_for_whole();
-  a_long_body_reaches_its_endpoint_whole(kLong);
-  a_long_body_reaches_its_endpoint_whole(2u << 20);
-  what_was_held_whole_is_retried_and_what_streamed_is_not();
-  slow_clients_are_judged_by_their_pace();
-  many_long_bodies_and_slow_readers_stay_within_the_memory(64);
-  a_long_answer_cut_at_any_byte_of_its_head_comes_whole();
+  long_response_is_streamed();
+  truncated_long_response_is_never_completed();
+  long_request_body_reaches_the_endpoint_complete(kLong);
+  long_request_body_reaches_the_endpoint_complete(2u << 20);
+  buffered_request_is_retried_and_streamed_one_is_not();
+  slow_uploads_are_judged_by_their_rate();
+  unread_long_responses_stay_within_the_memory_limit(64);
+  long_response_split_at_any_byte_of_its_head_is_complete();
 }
--- a/tests/integration/clocks.cpp
+++ b/tests/integration/clocks.cpp
@@ -53,26 +53,26 @@
 
  private:
   struct Watcher {
-    Line line;
+    TestConnection line;
     int notified = 0;
   };
   void tell() {
     std::vector<Watcher> watchers;
     while (!over_) {
-      if (listener.connection_waits(0.01)) {
-        Watcher next{listener.take()};
-        if (!next.line.hear(HttpReader::Side::Request)) continue;
-        next.line.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      if (listener.has_connection_within(0.01)) {
+        Watcher next{listener.accept_connection()};
+        if (!next.line.receive_message(HttpReader::Side::Request)) continue;
+        next.line.send_text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         watchers.push_back(std::move(next));
       }
       std::lock_guard lock(mutex_);
       for (Watcher& one : watchers) {
         if (one.notified == index_) continue;
-        one.line.say(chunk(R"({"index":)" + std::to_string(index_) + R"(,"snapshot":true,"endpoints":[)" +
-                           entries_ + "]}\n"));
+        one.line.send_text(http_chunk(R"({"index":)" + std::to_string(index_) +
+                                      R"(,"snapshot":true,"endpoints":[)" + entries_ + "]}\n"));
         one.notified = index_;
       }
-      std::erase_if(watchers, [](Watcher& one) { return one.line.anything(0); });  // it has left
+      std::erase_if(watchers, [](Watcher& one) { return one.line.has_input_within(0); });  // it has left
       notified_ = index_.load();
     }
   }
@@ -85,19 +85,19 @@
 
 // Two endpoints of one size, and one sidecar before them.
 struct Fixture {
-  Answering fresh{2}, other{3};
+  AnsweringEndpoint fresh{2}, other{3};
   std::int64_t since_ms = 0;  // of `fresh`
   Discovery discovery{entries()};
   int asked = 0;
 
   std::string entries() const {
-    std::string first = entry("fresh", fresh.listener.address);
+    std::string first = list_entry_json("fresh", fresh.listener.address);
     first.replace(first.find(R"("since_ms":0)"), 12, R"("since_ms":)" + std::to_string(since_ms));
-    return first + "," + entry("other", other.listener.address);
+    return first + "," + list_entry_json("other", other.listener.address);
   }
-  Running::Options options(const Faults& faults, int number = 0) {
-    Running::Options made;
-    made.admin = here(5) + ":" + std::to_string(5100 + number);
+  SidecarProcess::Options options(const Faults& faults, int number = 0) {
+    SidecarProcess::Options made;
+    made.admin = loopback_address(5) + ":" + std::to_string(5100 + number);
     made.number = number, made.discovery = &discovery.listener;
     made.environment = faults.environment(), made.rules = kRules;
     return made;
@@ -108,22 +108,22 @@
     discovery.wait_until_notified();
   }
   // How many of the next requests `fresh` gets. Several are out at a time, else the faster one gets them all.
-  int share_of_fresh(const Running& sidecar) {
+  int share_of_fresh(const SidecarProcess& sidecar) {
     int before = fresh.served;
     for (int i = 0; i < kRequests; i += kAtOnce) {
-      std::vector<Line> clients;
+      std::vector<TestConnection> clients;
       for (int k = 0; k < kAtOnce; ++k) {
         clients.emplace_back(sidecar.listen);
         ++asked;
-        assert(clients.back().say(get("", std::to_string(asked))));
+        assert(clients.back().send_text(get_request("", std::to_string(asked))));
       }
-      for (Line& client : clients) assert(client.answer_status() == 200);
+      for (TestConnection& client : clients) assert(client.response_status() == 200);
     }
     return fresh.served - before;
   }
   // The largest share of a few rounds. One alone may be drawn low, or fall on connections that are just
   // opened; in slow start none of them comes near to what a warm endpoint gets.
-  int largest_share_of_fresh(const Running& sidecar) {
+  int largest_share_of_fresh(const SidecarProcess& sidecar) {
     constexpr int kRounds = 5;
     int largest = 0;
     for (int i = 0; i < kRounds && largest < kLeastOnceWarm; ++i)
@@ -133,11 +133,11 @@
 };
 
 // Wrong before the process starts, and all the time.
-void under_a_wrong_clock_a_new_start_is_cold_and_warms_up_in_its_time() {
+void slow_start_begins_and_ends_on_time_under_a_wrong_wall_clock() {
   for (const char* wrong : kWrong) {
     Fixture fixture;
     Faults faults(library, wrong);
-    Running sidecar(fixture.entries(), fixture.options(faults));
+    SidecarProcess sidecar(fixture.entries(), fixture.options(faults));
     assert(fixture.largest_share_of_fresh(sidecar) >= kLeastOnceWarm);
     fixture.start_anew();
     double started = now();
@@ -153,11 +153,11 @@
 
 // Under slow start the clock is stepped, and the same list comes again: no new start, and no end of slow
 // start.
-void a_step_under_slow_start_neither_ends_nor_begins_it() {
+void clock_step_during_slow_start_neither_ends_nor_restarts_it() {
   for (const char* step : kWrong) {
     Fixture fixture;
     Faults faults(library);
-    Running sidecar(fixture.entries(), fixture.options(faults));
+    SidecarProcess sidecar(fixture.entries(), fixture.options(faults));
     fixture.start_anew();
     double started = now();
     faults.change(step);
@@ -172,17 +172,18 @@
 }
 
 // The process that takes over reads another wall clock than the one before.
-void a_step_within_a_hand_over_neither_ends_nor_begins_slow_start() {
+void clock_step_during_takeover_neither_ends_nor_restarts_slow_start() {
   for (const char* step : kWrong) {
     Fixture fixture;
     Faults right(library), stepped(library, step);
-    Running predecessor(fixture.entries(), fixture.options(right));
+    SidecarProcess predecessor(fixture.entries(), fixture.options(right));
     fixture.start_anew();
     double started = now();
-    Running successor(fixture.entries(), fixture.options(stepped, 1));
+    SidecarProcess successor(fixture.entries(), fixture.options(stepped, 1));
     auto ready = [] {
-      Line line(here(5) + ":5101");
-      return line.connected && line.say("GET /api/ready HTTP/1.1\r\n\r\n") && line.answer_status() == 200;
+      TestConnection line(loopback_address(5) + ":5101");
+      return line.connected && line.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
+             line.response_status() == 200;
     };
     for (double until = now() + 6; !ready(); sleep_for(0.01)) assert(now() < until);
     predecessor.terminate();
@@ -205,9 +206,9 @@
   std::string folder = "/tmp/puffinvane-clocks-" + std::to_string(getpid());
   std::filesystem::create_directory(folder);
   setenv("TMPDIR", folder.c_str(), 1);
-  under_a_wrong_clock_a_new_start_is_cold_and_warms_up_in_its_time();
-  a_step_under_slow_start_neither_ends_nor_begins_it();
-  a_step_within_a_hand_over_neither_ends_nor_begins_slow_start();
+  slow_start_begins_and_ends_on_time_under_a_wrong_wall_clock();
+  clock_step_during_slow_start_neither_ends_nor_restarts_it();
+  clock_step_during_takeover_neither_ends_nor_restarts_slow_start();
   std::filesystem::remove_all(folder);
   std::puts("clocks: all stories hold");
 }
--- a/tests/integration/commands.cpp
+++ b/tests/integration/commands.cpp
@@ -53,7 +53,7 @@
   return text;
 }
 
-void check_exits_0_on_a_good_file_and_1_on_a_bad_one() {
+void check_exits_0_for_a_valid_file_and_1_for_an_invalid_one() {
   Ran good = run("check " + example());
   assert(good.exit == 0 && good.out.empty() && good.err.empty());
   std::string bad = write("bad.site", changed("750ms", "750"));
@@ -65,7 +65,7 @@
   assert(run("check " + scratch + "/none.site").exit == 2 && run("check " + scratch).exit == 2);
 }
 
-void check_says_the_same_as_json() {
+void check_prints_diagnostics_as_json() {
   Ran ran = run("check --json " + example() + " " + write("bad.site", changed("750ms", "750")));
   nlohmann::json all = nlohmann::json::parse(ran.out);
   assert(ran.exit == 1 && all.size() == 2 && all[0]["messages"].empty() && all[0]["version"].is_string());
@@ -90,7 +90,7 @@
   assert(run("format " + scratch + "/none.site").exit == 2);
 }
 
-void diff_exits_0_where_the_meaning_is_equal() {
+void diff_exits_0_for_equivalent_files() {
   assert(run("diff " + example() + " " + example()).exit == 0);
   std::string same =
       write("same.site", changed("define patience 2s", "define patience 2000ms # longer to write"));
@@ -104,7 +104,7 @@
   assert(run("diff " + example() + " " + write("bad.site", "x\n")).exit == 2);
 }
 
-void explain_says_which_route_wins_and_why_others_lost() {
+void explain_names_the_selected_route_and_why_others_lost() {
   Ran ran = run("explain " + example() + " POST 'http://localhost/consent/7?a=b' 'X-A: 1'");
   assert(ran.exit == 0 && ran.out.ends_with("route consent wins: pool consent as consent\n"));
   assert(ran.out.find("route elsewhere matches, but route consent names the path more closely") !=
@@ -117,7 +117,7 @@
   assert(json["winner"] == "upload" && json["routes"].size() == 4);
 }
 
-void help_and_version_are_everywhere_and_wrong_usage_exits_2() {
+void every_command_has_help_and_version_and_rejects_wrong_usage_with_2() {
   for (const char* command : {"", "serve ", "check ", "format ", "diff ", "explain "}) {
     for (const char* flag : {"--help", "--version"}) {
       Ran ran = run(std::string(command) + flag);
@@ -129,7 +129,7 @@
   assert(run("serve " + scratch + "/none.site").exit == 1);
 }
 
-void nothing_ends_it_by_a_signal() {
+void no_input_or_output_error_ends_a_command_by_a_signal() {
   std::string all = " " + sources + "/src/config/language/corpus/bad/*.site " + sources +
                     "/src/config/language/corpus/good/*.site";
   assert(run("check" + all).exit == 1 && run("check --json" + all).exit == 1);
@@ -161,13 +161,13 @@
   std::string made = (fs::temp_directory_path() / "commands-XXXXXX").string();
   assert(mkdtemp(made.data()));
   scratch = made;
-  check_exits_0_on_a_good_file_and_1_on_a_bad_one();
-  check_says_the_same_as_json();
+  check_exits_0_for_a_valid_file_and_1_for_an_invalid_one();
+  check_prints_diagnostics_as_json();
   format_writes_to_standard_output_or_in_place();
-  diff_exits_0_where_the_meaning_is_equal();
-  explain_says_which_route_wins_and_why_others_lost();
-  help_and_version_are_everywhere_and_wrong_usage_exits_2();
-  nothing_ends_it_by_a_signal();
+  diff_exits_0_for_equivalent_files();
+  explain_names_the_selected_route_and_why_others_lost();
+  every_command_has_help_and_version_and_rejects_wrong_usage_with_2();
+  no_input_or_output_error_ends_a_command_by_a_signal();
   fs::remove_all(scratch);
   std::puts("commands: all stories hold");
 }
--- a/tests/integration/fleet_processes.cpp
+++ b/tests/integration/fleet_processes.cpp
@@ -16,7 +16,7 @@
 
 void say(const char* what, double seconds) { std::printf("  %-44s %5.1f s\n", what, seconds); }
 
-void they_find_each_other_and_a_death_is_known_to_all(Processes& fleet) {
+void members_discover_each_other_and_detect_deaths(Processes& fleet) {
   double took = fleet.agreed(kMembers, 15);
   say("20 started at once agree", took);
   assert(took >= 0);
@@ -35,9 +35,9 @@
   return WEXITSTATUS(std::system(line.c_str()));
 }
 
-void what_is_shown_tells_a_cut_from_one_view(Processes& fleet) {
+void fleet_show_distinguishes_a_partition_from_agreement(Processes& fleet) {
   assert(shown(fleet.all[3].admin()) == 0);
-  assert(shown(here(250) + ":1") == 2);
+  assert(shown(loopback_address(250) + ":1") == 2);
   fleet.all[5].signal(SIGSTOP);  // it can't be asked
   assert(shown(fleet.all[3].admin()) == 1);
   fleet.all[5].signal(SIGCONT);
@@ -45,7 +45,7 @@
 }
 
 // A rumour takes some tenths of a second to all: whoever asks within these must not be told of a cut.
-void what_is_shown_amid_news_is_no_cut(Processes& fleet) {
+void fleet_show_reports_no_partition_while_updates_spread(Processes& fleet) {
   for (int i = 0; i < 6; ++i) {
     assert(!fleet.all[5].ask(i % 2 == 0 ? "/api/evacuate" : "/api/rejoin", "PUT").empty());
     assert(shown(fleet.all[3].admin()) == 0);
@@ -53,7 +53,7 @@
 }
 
 // One view is asked for all of it: of two, the first may still tell of an order before this one.
-void who_is_emptied_leaves_its_part_to_others(Processes& fleet) {
+void evacuated_member_leaves_its_share_to_others(Processes& fleet) {
   auto sees = [&](int sidecars, const char* phase) {
     auto view = fleet.all[3].view();
     for (const auto& member : view.at("members"))
@@ -72,7 +72,7 @@
   comes_to_see(kMembers, "serving");
 }
 
-void who_is_told_to_end_is_gone_at_once(Processes& fleet) {
+void terminated_member_departs_at_once(Processes& fleet) {
   Process& one = fleet.all[5];
   one.signal(SIGTERM);
   double from = now();
@@ -84,7 +84,7 @@
   assert(fleet.agreed(kMembers, 15) >= 0);
 }
 
-void two_sides_of_a_cut_agree_and_are_one_again(Processes& fleet) {
+void partitioned_halves_agree_and_merge_after_healing(Processes& fleet) {
   auto even = [](int number) { return number % 2 == 0; };
   auto odd = [](int number) { return number % 2 == 1; };
   fleet.relay.set({0, 0, 0, 0, 0, [](int from, int to) { return from % 2 != to % 2; }});
@@ -97,7 +97,7 @@
   assert(took >= 0);
 }
 
-void who_stood_still_comes_back_and_accuses_nobody(Processes& fleet) {
+void stopped_member_resumes_and_declares_nobody_dead(Processes& fleet) {
   std::vector<double> before;
   for (const Process& one : fleet.all) before.push_back(one.figure("died_total"));
   fleet.all[7].signal(SIGSTOP);
@@ -112,7 +112,7 @@
   assert(fleet.all[7].figure("stalls_total") > 0 && fleet.all[7].figure("died_total") == before[7]);
 }
 
-void what_is_lost_spoilt_and_doubled_buries_nobody(Processes& fleet) {
+void packet_loss_corruption_and_duplication_kill_no_member(Processes& fleet) {
   double before = 0, after = 0, spoilt = 0;
   for (const Process& one : fleet.all) before += one.figure("died_total");
   fleet.relay.set({0.2, 0.1, 0.05, 0.001, 0.02, nullptr});
@@ -126,7 +126,7 @@
   assert(took >= 0);
 }
 
-void of_two_of_one_name_the_later_counts(Processes& fleet) {
+void later_of_two_members_with_one_name_supersedes_the_earlier(Processes& fleet) {
   {
     Process twin(kMembers, fleet.discovery.address, "a key", 7);
     double from = now();
@@ -143,7 +143,7 @@
 }
 
 // A process that takes over is a later life of the same place: it is at no time dead or departed for others.
-void an_upgrade_keeps_its_place(Processes& fleet) {
+void upgrade_keeps_the_member_alive(Processes& fleet) {
   std::string state;
   auto life_of_6 = [&] {
     const json view = fleet.all[3].view();
@@ -170,7 +170,7 @@
   assert(fleet.agreed(kMembers, 20) >= 0);
 }
 
-void who_has_another_key_is_nobody(Processes& fleet) {
+void member_with_another_key_is_ignored(Processes& fleet) {
   Process stranger(kMembers + 1, fleet.discovery.address, "another");
   sleep_for(3);
   assert(stranger.view()["live"] == 1);
@@ -179,15 +179,15 @@
 }
 
 // What a flood costs requests, by the health check's answers at the requests' own listener.
-void a_flood_from_peers_does_not_hold_up_requests(Processes& fleet) {
+void gossip_flood_does_not_delay_requests(Processes& fleet) {
   const Process& one = fleet.all[4];
   auto slowest = [&] {
     std::vector<double> took;
     for (double until = now() + 2; now() < until; sleep_for(0.005)) {
       double from = now();
-      Line line(one.listener());
-      line.say("GET /healthz HTTP/1.1\r\n\r\n");
-      assert(line.answer_status() == 200);
+      TestConnection line(one.listener());
+      line.send_text("GET /healthz HTTP/1.1\r\n\r\n");
+      assert(line.response_status() == 200);
       took.push_back(now() - from);
     }
     std::sort(took.begin(), took.end());
@@ -225,17 +225,17 @@
   program = words[1];
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   Processes fleet(kMembers);
-  they_find_each_other_and_a_death_is_known_to_all(fleet);
-  what_is_shown_tells_a_cut_from_one_view(fleet);
-  what_is_shown_amid_news_is_no_cut(fleet);
-  who_is_emptied_leaves_its_part_to_others(fleet);
-  who_is_told_to_end_is_gone_at_once(fleet);
-  two_sides_of_a_cut_agree_and_are_one_again(fleet);
-  who_stood_still_comes_back_and_accuses_nobody(fleet);
-  what_is_lost_spoilt_and_doubled_buries_nobody(fleet);
-  of_two_of_one_name_the_later_counts(fleet);
-  an_upgrade_keeps_its_place(fleet);
-  who_has_another_key_is_nobody(fleet);
-  a_flood_from_peers_does_not_hold_up_requests(fleet);
+  members_discover_each_other_and_detect_deaths(fleet);
+  fleet_show_distinguishes_a_partition_from_agreement(fleet);
+  fleet_show_reports_no_partition_while_updates_spread(fleet);
+  evacuated_member_leaves_its_share_to_others(fleet);
+  terminated_member_departs_at_once(fleet);
+  partitioned_halves_agree_and_merge_after_healing(fleet);
+  stopped_member_resumes_and_declares_nobody_dead(fleet);
+  packet_loss_corruption_and_duplication_kill_no_member(fleet);
+  later_of_two_members_with_one_name_supersedes_the_earlier(fleet);
+  upgrade_keeps_the_member_alive(fleet);
+  member_with_another_key_is_ignored(fleet);
+  gossip_flood_does_not_delay_requests(fleet);
   std::puts("fleet processes: stories hold");
 }
--- a/tests/integration/fleet_processes.h
+++ b/tests/integration/fleet_processes.h
@@ -29,7 +29,7 @@
                          << discovery << R"(","console":")" << admin()
                          << R"(","seed":"1f","limits":{"sockets":256,"memory_mb":32},)"
                          << R"("known":{"index":7,"snapshot":true,"endpoints":[)" << known
-                         << R"(]},"settings":)" << Running::settings("3") << R"(,")"
+                         << R"(]},"settings":)" << SidecarProcess::settings("3") << R"(,")"
                          << (joins ? "fleet" : "alone") << R"(":{"listen":")" << Relay::own(place_)
                          << R"(","advertise":")" << Relay::advertised(place_) << R"(","key":")" << key
                          << R"(","seeds":[")" << Relay::advertised(0) << R"(",")" << Relay::advertised(1)
@@ -61,13 +61,13 @@
     if (child_ > 0) ::kill(child_, SIGKILL), waitpid(child_, nullptr, 0), child_ = 0;
   }
   bool up() const { return child_ > 0; }
-  std::string admin() const { return here(203) + ":" + std::to_string(6000 + number); }
-  std::string listener() const { return here(202) + ":" + std::to_string(6000 + place_); }
+  std::string admin() const { return loopback_address(203) + ":" + std::to_string(6000 + number); }
+  std::string listener() const { return loopback_address(202) + ":" + std::to_string(6000 + place_); }
   std::string ask(const std::string& path, const std::string& method = "GET") const {
-    Line line(admin());
+    TestConnection line(admin());
     if (!line.connected) return {};
-    line.say(method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Response);
+    line.send_text(method + " " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    auto answer = line.receive_message(HttpReader::Side::Response);
     return answer && answer->status == 200 ? answer->body.text() : "";
   }
   json view() const { return json::parse(ask("/api/fleet"), nullptr, false); }
--- a/tests/integration/fleet_relay.h
+++ b/tests/integration/fleet_relay.h
@@ -24,8 +24,10 @@
     double loss = 0, twice = 0, spoilt = 0, delay = 0, jitter = 0;
     std::function<bool(int from, int to)> cut;  // none: nothing is
   };
-  static std::string advertised(int member) { return here(200) + ":" + std::to_string(7000 + member); }
-  static std::string own(int member) { return here(201) + ":" + std::to_string(7000 + member); }
+  static std::string advertised(int member) {
+    return loopback_address(200) + ":" + std::to_string(7000 + member);
+  }
+  static std::string own(int member) { return loopback_address(201) + ":" + std::to_string(7000 + member); }
 
   Relay(int members, unsigned seed) : chance_(seed) {
     for (int i = 0; i < members; ++i) {
--- a/tests/integration/fleet_sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -16,11 +16,11 @@
 struct Endpoints {
   Endpoints() {
     for (int i = 0; i < kEndpoints; ++i) {
-      all.push_back(std::make_unique<Answering>(20 + i));
-      known += (i ? "," : "") + entry("e" + std::to_string(i), all.back()->listener.address);
+      all.push_back(std::make_unique<AnsweringEndpoint>(20 + i));
+      known += (i ? "," : "") + list_entry_json("e" + std::to_string(i), all.back()->listener.address);
     }
   }
-  std::vector<std::unique_ptr<Answering>> all;
+  std::vector<std::unique_ptr<AnsweringEndpoint>> all;
   std::string known;
 };
 
@@ -40,9 +40,9 @@
   std::string prefix = "t" + std::to_string(++turn) + "x";
   for (int i = from * kClients; i < kSidecars * kClients; ++i) {
     clients.emplace_back([&, to = fleet.all[std::size_t(i / kClients)].listener()] {
-      for (Line line(to); !over; sleep_for(0.002)) {
-        line.say(get("", prefix + std::to_string(++ids)));
-        auto answer = line.hear(HttpReader::Side::Response);
+      for (TestConnection line(to); !over; sleep_for(0.002)) {
+        line.send_text(get_request("", prefix + std::to_string(++ids)));
+        auto answer = line.receive_message(HttpReader::Side::Response);
         lost += !answer || answer->status != 200;
         if (!answer) return;
       }
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -16,9 +16,9 @@
 
 constexpr double kPromptAnswerS = 2;
 
-Running::Options logging_options() {
-  Running::Options options;
-  options.admin = here(3) + ":5003";
+SidecarProcess::Options logging_options() {
+  SidecarProcess::Options options;
+  options.admin = loopback_address(3) + ":5003";
   options.environment = {{"PUFFINVANE_LOG", "info"}};
   return options;
 }
@@ -28,7 +28,8 @@
  protected:
   FullLogPipe() {
     InheritedOutput inherited(log_);
-    sidecar_ = std::make_unique<Running>(entry("a", endpoint_.listener.address), logging_options());
+    sidecar_ =
+        std::make_unique<SidecarProcess>(list_entry_json("a", endpoint_.listener.address), logging_options());
   }
   // Each reload logs a line.
   void reload(int times) {
@@ -38,14 +39,14 @@
     }
   }
   int ask_admin(const std::string& path) const {
-    Line line(here(3) + ":5003");
-    line.say("GET " + path + " HTTP/1.1\r\n\r\n");
-    return line.answer_status();
+    TestConnection line(loopback_address(3) + ":5003");
+    line.send_text("GET " + path + " HTTP/1.1\r\n\r\n");
+    return line.response_status();
   }
 
-  Answering endpoint_{2};
+  AnsweringEndpoint endpoint_{2};
   LogPipe log_;
-  std::unique_ptr<Running> sidecar_;
+  std::unique_ptr<SidecarProcess> sidecar_;
 };
 
 TEST_F(FullLogPipe, RequestsAndAdminCallsAreAnsweredInTime) {
@@ -57,7 +58,7 @@
 
   for (int i = 0; i < kRequests; ++i) {
     const double asked_at_s = now();
-    EXPECT_EQ(sidecar_->status_of(get("", std::to_string(i))), 200);
+    EXPECT_EQ(sidecar_->status_of(get_request("", std::to_string(i))), 200);
     EXPECT_LT(now() - asked_at_s, kPromptAnswerS);
   }
   EXPECT_EQ(ask_admin("/api/ready"), 200);
@@ -81,38 +82,38 @@
 }
 
 TEST_F(FullLogPipe, DroppedLinesAreCountedInTelemetry) {
-  Line line(here(3) + ":5003");
+  TestConnection line(loopback_address(3) + ":5003");
 
-  line.say("GET /api/telemetry HTTP/1.1\r\n\r\n");
+  line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
 
-  std::optional<HttpMessage> answer = line.hear(HttpReader::Side::Response);
+  std::optional<HttpMessage> answer = line.receive_message(HttpReader::Side::Response);
   ASSERT_TRUE(answer);
   EXPECT_NE(answer->body.text().find("\nsidecar_log_lines_dropped_total 0\n"), std::string::npos)
       << answer->body.text();
 }
 
 TEST_F(FullLogPipe, ProcessThatIsToldToEndAnswersAndLeavesInTime) {
-  Line client(sidecar_->listen);
-  client.say(get());
-  ASSERT_EQ(client.answer_status(), 200);
+  TestConnection client(sidecar_->listen);
+  client.send_text(get_request());
+  ASSERT_EQ(client.response_status(), 200);
   log_.fill();
 
   sidecar_->terminate();
-  client.say(get("", "after"));
+  client.send_text(get_request("", "after"));
 
-  EXPECT_EQ(client.answer_status(), 200);
+  EXPECT_EQ(client.response_status(), 200);
   EXPECT_EQ(sidecar_->exit_code(1.7), 0);  // SIGKILL comes 0.7 s after the longest client timeout
 }
 
 TEST(FullLogPipeAtStart, StartThatFailsEndsWithItsExitCode) {
   LogPipe log;
   log.fill();
-  Running::Options options = logging_options();
+  SidecarProcess::Options options = logging_options();
   options.number = 1;  // it is not waited for
   options.rules = "{";
   auto inherited = std::make_unique<InheritedOutput>(log);
 
-  Running sidecar(entry("a", here(2) + ":5002"), options);
+  SidecarProcess sidecar(list_entry_json("a", loopback_address(2) + ":5002"), options);
   inherited.reset();
 
   EXPECT_EQ(sidecar.exit_code(3), 1);
@@ -150,8 +151,8 @@
 };
 
 TEST(FullLogPipeOfSite, RequestsAreAnsweredInTime) {
-  const std::string listen = here(1) + ":5001";
-  Answering endpoint(2);
+  const std::string listen = loopback_address(1) + ":5001";
+  AnsweringEndpoint endpoint(2);
   LogPipe log;
   SiteServer server(listen, endpoint.listener.address, log);
   ASSERT_NE(log.read_until("site.serving", 5).find("site.serving"), std::string::npos);
@@ -162,10 +163,10 @@
   }
 
   for (int i = 0; i < 4; ++i) {
-    Line client(listen);
+    TestConnection client(listen);
     const double asked_at_s = now();
-    client.say("GET /hello HTTP/1.1\r\nHost: a.example.org\r\n\r\n");
-    EXPECT_EQ(client.answer_status(), 200);
+    client.send_text("GET /hello HTTP/1.1\r\nHost: a.example.org\r\n\r\n");
+    EXPECT_EQ(client.response_status(), 200);
     EXPECT_LT(now() - asked_at_s, kPromptAnswerS);
   }
 }
--- a/tests/integration/restart_soak.cpp
+++ b/tests/integration/restart_soak.cpp
@@ -114,16 +114,16 @@
 
  private:
   void run() {
-    std::vector<Line> calls;
+    std::vector<TestConnection> calls;
     while (!is_over_) {
-      if (!listener_.connection_waits(0.02)) continue;
-      Line call = listener_.take();
+      if (!listener_.has_connection_within(0.02)) continue;
+      TestConnection call = listener_.accept_connection();
       if (discovery_ == Discovery::Refusing) {
         call.reset();
         continue;
       }
       if (discovery_ == Discovery::Listening) {
-        call.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list_));
+        call.send_text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + http_chunk(list_));
       }
       calls.push_back(std::move(call));
     }
@@ -175,13 +175,13 @@
     std::string entries;
     for (int i = 0; i < kEndpoints; ++i) {
       endpoints_.push_back(std::make_unique<SoakEndpoint>(20 + i, received_, 0.005 + 0.01 * i));
-      entries += (i > 0 ? "," : "") + entry("e" + std::to_string(i), endpoints_.back()->address());
+      entries += (i > 0 ? "," : "") + list_entry_json("e" + std::to_string(i), endpoints_.back()->address());
     }
     entries_ = entries;
     discovery_ =
         std::make_unique<DiscoveryStandIn>(discovery_listener_, plan.discovery,
                                            R"({"index":7,"snapshot":true,"endpoints":[)" + entries + "]}\n");
-    sidecar_ = std::make_unique<Running>(entries, options(0));
+    sidecar_ = std::make_unique<SidecarProcess>(entries, options(0));
   }
 
   Verdict play() {
@@ -208,10 +208,10 @@
 
   static void sleep_until(double at_s) { sleep_for(std::max(0.0, at_s - now())); }
 
-  std::string admin(int number) const { return here(3) + ":" + std::to_string(5100 + number); }
+  std::string admin(int number) const { return loopback_address(3) + ":" + std::to_string(5100 + number); }
 
-  Running::Options options(int number) {
-    Running::Options options;
+  SidecarProcess::Options options(int number) {
+    SidecarProcess::Options options;
     options.discovery = &discovery_listener_;
     options.admin = admin(number);
     options.number = number;
@@ -238,7 +238,7 @@
   void gather_crowd() {
     for (int i = 0; i < kCrowd; ++i) {
       crowd_.emplace_back(sidecar_->listen);
-      if (i % 2 == 1) crowd_.back().say("GET /read/a HTTP/1.1\r\nX-Corr");
+      if (i % 2 == 1) crowd_.back().send_text("GET /read/a HTTP/1.1\r\nX-Corr");
     }
   }
 
@@ -249,17 +249,18 @@
   }
 
   int call_admin(int number, const std::string& path) const {
-    Line line(admin(number));
+    TestConnection line(admin(number));
     if (!line.connected) return 0;
-    line.say("PUT " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    return line.answer_status();
+    line.send_text("PUT " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    return line.response_status();
   }
 
   void start_successor() {
-    successor_ = std::make_unique<Running>(entries_, options(1));
+    successor_ = std::make_unique<SidecarProcess>(entries_, options(1));
     auto is_ready = [this] {
-      Line line(admin(1));
-      return line.connected && line.say("GET /api/ready HTTP/1.1\r\n\r\n") && line.answer_status() == 200;
+      TestConnection line(admin(1));
+      return line.connected && line.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
+             line.response_status() == 200;
     };
     for (double until = now() + 5; !is_ready() && now() < until;) sleep_for(0.01);
   }
@@ -301,9 +302,9 @@
   std::string entries_;
   Listener discovery_listener_;
   std::unique_ptr<DiscoveryStandIn> discovery_;
-  std::unique_ptr<Running> sidecar_;
-  std::unique_ptr<Running> successor_;
-  std::vector<Line> crowd_;
+  std::unique_ptr<SidecarProcess> sidecar_;
+  std::unique_ptr<SidecarProcess> successor_;
+  std::vector<TestConnection> crowd_;
   std::vector<std::unique_ptr<SoakClient>> clients_;
 };
 
--- a/tests/integration/site_serving.cpp
+++ b/tests/integration/site_serving.cpp
@@ -40,7 +40,7 @@
 class Serving {
  public:
   explicit Serving(const std::string& body, const std::vector<std::string>& more = {})
-      : listen(here(1) + ":5001"),
+      : listen(loopback_address(1) + ":5001"),
         file_("/tmp/serving-" + std::to_string(getpid()) + ".site"),
         log_(file_ + ".log") {
     write(body);
@@ -115,11 +115,12 @@
   pid_t child_ = 0;
 };
 
-std::string get(const std::string& target, const std::string& more = "", const std::string& method = "GET") {
+std::string get_request(const std::string& target, const std::string& more = "",
+                        const std::string& method = "GET") {
   return method + " " + target + " HTTP/1.1\r\nHost: a.example.org\r\n" + more + "\r\n";
 }
-std::string post(const std::string& target, const std::string& body) {
-  return get(target, "Content-Length: " + std::to_string(body.size()) + "\r\n", "POST") + body;
+std::string post_request(const std::string& target, const std::string& body) {
+  return get_request(target, "Content-Length: " + std::to_string(body.size()) + "\r\n", "POST") + body;
 }
 std::string answer(const std::string& status, const std::string& body, const std::string& more = "") {
   return "HTTP/1.1 " + status + "\r\n" + more + "Content-Length: " + std::to_string(body.size()) +
@@ -132,244 +133,246 @@
   explicit Delivering(std::vector<Listener*> listeners)
       : listeners_(std::move(listeners)), delivered(listeners_.size()) {}
   // Until the client has heard: the status that it got.
-  int serve(Line& client) {
-    while (!client.anything(0)) {
+  int serve(TestConnection& client) {
+    while (!client.has_input_within(0)) {
       for (std::size_t i = 0; i < listeners_.size(); ++i) {
-        if (listeners_[i]->connection_waits(0)) lines_.emplace_back(i, listeners_[i]->take());
+        if (listeners_[i]->has_connection_within(0))
+          lines_.emplace_back(i, listeners_[i]->accept_connection());
       }
       for (std::size_t i = 0; i < lines_.size();) {
         auto& [of, line] = lines_[i];
         bool over = false;
-        if (line.anything(0)) {
-          over = !line.hear(HttpReader::Side::Request);
-          if (!over) line.say(answer("200 OK", "x")), ++delivered[of];
+        if (line.has_input_within(0)) {
+          over = !line.receive_message(HttpReader::Side::Request);
+          if (!over) line.send_text(answer("200 OK", "x")), ++delivered[of];
         }
         over ? void(lines_.erase(lines_.begin() + std::ptrdiff_t(i))) : void(++i);
       }
       sleep_for(0.0002);
     }
-    return client.answer_status();
+    return client.response_status();
   }
-  void shut() { lines_.clear(); }
-  void adopt(Line line) { lines_.emplace_back(0, std::move(line)); }
+  void disconnect() { lines_.clear(); }
+  void adopt(TestConnection line) { lines_.emplace_back(0, std::move(line)); }
 
  private:
   std::vector<Listener*> listeners_;
-  std::vector<std::pair<std::size_t, Line>> lines_;
+  std::vector<std::pair<std::size_t, TestConnection>> lines_;
 
  public:
   std::vector<int> delivered;
 };
 
-void each_route_leads_to_its_pool_and_status_and_headers_pass() {
+void routes_select_pools_and_responses_pass_through() {
   Listener one(2), two(3);
   Serving site(pool("a", {{"one", one.address}}) + pool("b", {{"two", two.address}}) +
                route("a", "path /a; to a; as status") +
                route("b", "path /b; rewrite /v2; method POST; to b; as consent") +
                route("gone", "exact /gone; answer 410 \"no more\""));
-  Line client(site.listen);
-  client.say(get("/a/1?x"));
-  auto [attempt, request] = one.take_request();
+  TestConnection client(site.listen);
+  client.send_text(get_request("/a/1?x"));
+  auto [attempt, request] = one.accept_request();
   assert(request.target == "/a/1?x" && request.header("X-Correlation-Id").size() == 32);
-  attempt.say(answer("404 Not Found", "none", "X-Own: 1\r\n"));
-  auto heard = client.hear(HttpReader::Side::Response);
+  attempt.send_text(answer("404 Not Found", "none", "X-Own: 1\r\n"));
+  auto heard = client.receive_message(HttpReader::Side::Response);
   assert(heard && heard->status == 404 && heard->header("X-Own") == "1" && heard->body.text() == "none");
-  client.say(post("/b/x", "effect"));
-  auto [second, changed] = two.take_request();
+  client.send_text(post_request("/b/x", "effect"));
+  auto [second, changed] = two.accept_request();
   assert(changed.target == "/v2/x" && changed.body.text() == "effect");
-  second.say(answer("201 Created", ""));
-  assert(client.answer_status() == 201);
-  client.say(get("/gone"));
-  heard = client.hear(HttpReader::Side::Response);
+  second.send_text(answer("201 Created", ""));
+  assert(client.response_status() == 201);
+  client.send_text(get_request("/gone"));
+  heard = client.receive_message(HttpReader::Side::Response);
   assert(heard->status == 410 && heard->body.text() == "no more\n");
-  client.say(get("/elsewhere"));
-  assert(client.answer_status() == 404);
-  client.say(get("/b/x"));  // not POST
-  assert(client.answer_status() == 404);
-  client.say(get("/a/%2e%2e/b"));
-  assert(client.answer_status() == 400);
+  client.send_text(get_request("/elsewhere"));
+  assert(client.response_status() == 404);
+  client.send_text(get_request("/b/x"));  // not POST
+  assert(client.response_status() == 404);
+  client.send_text(get_request("/a/%2e%2e/b"));
+  assert(client.response_status() == 400);
 }
 
-void an_endpoint_s_own_error_reaches_the_client_of_an_unsafe_request() {
+void endpoint_error_response_reaches_the_client_of_an_unsafe_request() {
   Listener one(2), two(3);
   Serving site(pool("a", {{"one", one.address}, {"two", two.address}}) +
                route("a", "path /; to a; as consent"));
-  Line client(site.listen);
-  client.say(post("/x", "effect"));
-  while (!one.connection_waits(0) && !two.connection_waits(0)) sleep_for(0.001);
-  Listener &first = one.connection_waits(0) ? one : two, &other = &first == &one ? two : one;
-  auto [attempt, request] = first.take_request();
-  attempt.say(answer("500 Oops", "the reason", "X-Own: 1\r\n"));
-  auto heard = client.hear(HttpReader::Side::Response);
+  TestConnection client(site.listen);
+  client.send_text(post_request("/x", "effect"));
+  while (!one.has_connection_within(0) && !two.has_connection_within(0)) sleep_for(0.001);
+  Listener &first = one.has_connection_within(0) ? one : two, &other = &first == &one ? two : one;
+  auto [attempt, request] = first.accept_request();
+  attempt.send_text(answer("500 Oops", "the reason", "X-Own: 1\r\n"));
+  auto heard = client.receive_message(HttpReader::Side::Response);
   assert(heard && heard->status == 500 && heard->body.text() == "the reason" &&
          heard->header("X-Own") == "1");
-  assert(!other.connection_waits(0.1));  // rule 2
+  assert(!other.has_connection_within(0.1));  // rule 2
 }
 
-void a_head_is_answered_without_its_body_and_the_connection_goes_on() {
+void head_response_has_no_body_and_the_connection_is_reused() {
   Listener one(2);
   Serving site(pool("a", {{"one", one.address}}) + route("a", "path /; to a; as status"));
-  Line client(site.listen);
-  client.say(get("/x", "", "HEAD"));
-  auto [attempt, request] = one.take_request();
+  TestConnection client(site.listen);
+  client.send_text(get_request("/x", "", "HEAD"));
+  auto [attempt, request] = one.accept_request();
   assert(request.method == "HEAD");
-  attempt.say("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n");
+  attempt.send_text("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n");
   sleep_for(0.05);
-  client.say(get("/y"));
-  auto second =
-      attempt.hear(HttpReader::Side::Request);  // on the same connection: nothing of a body was waited for
+  client.send_text(get_request("/y"));
+  auto second = attempt.receive_message(
+      HttpReader::Side::Request);  // on the same connection: nothing of a body was waited for
   assert(second && second->target == "/y");
-  attempt.say(answer("204 No Content", ""));
-  std::string text = client.text_until("204", 3);
+  attempt.send_text(answer("204 No Content", ""));
+  std::string text = client.receive_until("204", 3);
   assert(text.find("Content-Length: 1234\r\n") != std::string::npos);
   assert(text.find("\r\n\r\nHTTP/1.1 204") != std::string::npos);
 }
 
-void a_version_with_a_fault_changes_nothing() {
+void invalid_site_version_changes_nothing() {
   Listener one(2);
   const std::string good = pool("a", {{"one", one.address}}) + route("a", "path /; to a; as status");
   Serving site(good);
   site.reload(good + "route b { path /b; to nowhere; as status }\n", "site.kept");
   assert(site.count("site.fault") == 1 && site.count("no pool `nowhere`") == 1);
-  Line client(site.listen);
-  client.say(get("/b"));
-  auto [attempt, request] = one.take_request();
-  attempt.say(answer("200 OK", "x"));
-  assert(client.answer_status() == 200);
+  TestConnection client(site.listen);
+  client.send_text(get_request("/b"));
+  auto [attempt, request] = one.accept_request();
+  attempt.send_text(answer("200 OK", "x"));
+  assert(client.response_status() == 200);
 }
 
-void a_listener_that_can_t_be_bound_keeps_the_old_version_serving() {
+void bind_failure_keeps_the_old_site_version() {
   Listener one(2), taken(8);
   const std::string good = pool("a", {{"one", one.address}}) + route("a", "path /; to a; as status");
   Serving site(good);
   int before = site.descriptors();
   // The first new one can be opened: it must not stay so.
-  site.reload(good + listener("free", here(7) + ":5007") + listener("taken", taken.address), "site.kept");
+  site.reload(good + listener("free", loopback_address(7) + ":5007") + listener("taken", taken.address),
+              "site.kept");
   assert(site.count("Error binding") == 1);
-  assert(site.descriptors() == before && !Line(here(7) + ":5007").connected);
-  Line client(site.listen);
-  client.say(get("/x"));
-  auto [attempt, request] = one.take_request();
-  attempt.say(answer("200 OK", "x"));
-  assert(client.answer_status() == 200);
+  assert(site.descriptors() == before && !TestConnection(loopback_address(7) + ":5007").connected);
+  TestConnection client(site.listen);
+  client.send_text(get_request("/x"));
+  auto [attempt, request] = one.accept_request();
+  attempt.send_text(answer("200 OK", "x"));
+  assert(client.response_status() == 200);
 }
 
-void a_listener_that_goes_lets_its_clients_have_their_answers() {
+void removed_listener_still_answers_its_pending_requests() {
   Listener one(2);
   const std::string base = pool("a", {{"one", one.address}}) + route("a", "path /; to a; as status");
-  const std::string second = here(7) + ":5007";
+  const std::string second = loopback_address(7) + ":5007";
   Serving site(base + listener("second", second));
-  Line waiting(second), idle(second);
+  TestConnection waiting(second), idle(second);
   assert(waiting.connected && idle.connected);
-  idle.say(get("/healthz-is-routed"));
-  auto [first, ignored] = one.take_request();
-  first.say(answer("200 OK", "x"));
-  assert(idle.answer_status() == 200);
-  settle();
-  waiting.say(get("/x"));
-  auto request = first.hear(HttpReader::Side::Request);
+  idle.send_text(get_request("/healthz-is-routed"));
+  auto [first, ignored] = one.accept_request();
+  first.send_text(answer("200 OK", "x"));
+  assert(idle.response_status() == 200);
+  wait_until_reusable();
+  waiting.send_text(get_request("/x"));
+  auto request = first.receive_message(HttpReader::Side::Request);
   assert(request);
   site.reload(base);
-  assert(idle.ended(1) && !Line(second).connected);
-  first.say(answer("200 OK", "in time"));
-  auto heard = waiting.hear(HttpReader::Side::Response);
+  assert(idle.ends_within(1) && !TestConnection(second).connected);
+  first.send_text(answer("200 OK", "in time"));
+  auto heard = waiting.receive_message(HttpReader::Side::Response);
   assert(heard && heard->body.text() == "in time" && heard->header("Connection") == "close" &&
-         waiting.ended(2));
+         waiting.ends_within(2));
 }
 
 // Rules 2 and 3 over a reload: what is out ends where it is, once; what comes after goes by the new version.
-void two_pools_swap_endpoints_while_unsafe_requests_are_out() {
+void pools_swap_endpoints_while_unsafe_requests_are_pending() {
   Listener one(2), two(3);
   auto body = [&](const std::string& a, const std::string& b) {
     return pool("a", {{"x", a}}) + pool("b", {{"x", b}}) + route("a", "path /a; to a; as consent") +
            route("b", "path /b; to b; as consent");
   };
   Serving site(body(one.address, two.address));
-  Line out(site.listen), other(site.listen);
-  out.say(post("/a/1", "effect"));
-  auto [attempt, request] = one.take_request();
+  TestConnection out(site.listen), other(site.listen);
+  out.send_text(post_request("/a/1", "effect"));
+  auto [attempt, request] = one.accept_request();
   site.reload(body(two.address, one.address));
-  other.say(post("/a/2", "effect"));
-  auto [next, second] = two.take_request();
+  other.send_text(post_request("/a/2", "effect"));
+  auto [next, second] = two.accept_request();
   assert(second.target == "/a/2");
-  attempt.say(answer("200 OK", "first"));
-  next.say(answer("200 OK", "second"));
-  assert(out.hear(HttpReader::Side::Response)->body.text() == "first");
-  assert(other.hear(HttpReader::Side::Response)->body.text() == "second");
-  assert(!one.connection_waits(0.1) && !two.connection_waits(0) && !next.anything(0));
-  other.say(post("/b/3", "effect"));
-  auto [last, third] = one.take_request();
+  attempt.send_text(answer("200 OK", "first"));
+  next.send_text(answer("200 OK", "second"));
+  assert(out.receive_message(HttpReader::Side::Response)->body.text() == "first");
+  assert(other.receive_message(HttpReader::Side::Response)->body.text() == "second");
+  assert(!one.has_connection_within(0.1) && !two.has_connection_within(0) && !next.has_input_within(0));
+  other.send_text(post_request("/b/3", "effect"));
+  auto [last, third] = one.accept_request();
   assert(third.target == "/b/3");
-  last.say(answer("200 OK", "third"));
-  assert(other.answer_status() == 200);
+  last.send_text(answer("200 OK", "third"));
+  assert(other.response_status() == 200);
 }
 
-void a_pool_that_stays_keeps_its_connections_and_one_that_goes_ends_its_requests() {
+void unchanged_pool_keeps_connections_and_removed_pool_finishes_its_requests() {
   Listener one(2), two(3);
   const std::string a = pool("a", {{"one", one.address}}) + route("a", "path /a; to a; as status");
   Serving site(a + pool("b", {{"two", two.address}}) + route("b", "path /b; to b; as consent"));
-  Line client(site.listen), out(site.listen);
-  client.say(get("/a"));
-  auto [attempt, request] = one.take_request();
-  attempt.say(answer("200 OK", "x"));
-  assert(client.answer_status() == 200);
-  out.say(post("/b", "effect"));
-  auto [last, its] = two.take_request();
+  TestConnection client(site.listen), out(site.listen);
+  client.send_text(get_request("/a"));
+  auto [attempt, request] = one.accept_request();
+  attempt.send_text(answer("200 OK", "x"));
+  assert(client.response_status() == 200);
+  out.send_text(post_request("/b", "effect"));
+  auto [last, its] = two.accept_request();
   site.reload(a);
-  settle();
-  client.say(get("/a"));
-  auto again = attempt.hear(HttpReader::Side::Request);  // on the connection that it had
-  assert(again && !one.connection_waits(0));
-  attempt.say(answer("200 OK", "y"));
-  assert(client.answer_status() == 200);
-  client.say(get("/b"));
-  assert(client.answer_status() == 404);
-  last.say(answer("200 OK", "ended under its own version"));
-  assert(out.hear(HttpReader::Side::Response)->body.text() == "ended under its own version");
-  assert(last.ended(2));  // and its connection is not kept
+  wait_until_reusable();
+  client.send_text(get_request("/a"));
+  auto again = attempt.receive_message(HttpReader::Side::Request);  // on the connection that it had
+  assert(again && !one.has_connection_within(0));
+  attempt.send_text(answer("200 OK", "y"));
+  assert(client.response_status() == 200);
+  client.send_text(get_request("/b"));
+  assert(client.response_status() == 404);
+  last.send_text(answer("200 OK", "ended under its own version"));
+  assert(out.receive_message(HttpReader::Side::Response)->body.text() == "ended under its own version");
+  assert(last.ends_within(2));  // and its connection is not kept
 }
 
-void a_pool_whose_values_change_ends_its_requests_under_the_old_ones() {
+void changed_pool_finishes_pending_requests_under_the_old_settings() {
   Listener one(2);
   auto body = [&](const std::string& hedging) {
     return "pool a { endpoint one " + one.address + "; copies " + hedging + " }\n" +
            route("a", "path /; to a; as consent");
   };
   Serving site(body("on"));
-  Line out(site.listen);
-  out.say(post("/x", "effect"));
-  auto [attempt, request] = one.take_request();
+  TestConnection out(site.listen);
+  out.send_text(post_request("/x", "effect"));
+  auto [attempt, request] = one.accept_request();
   site.reload(body("off"));
   assert(site.count("pool.ending pool=a") == 1);
-  attempt.say(answer("200 OK", "x"));
-  assert(out.answer_status() == 200);
-  settle();
-  out.say(post("/y", "effect"));  // and its connection is the next pool's
-  assert(attempt.hear(HttpReader::Side::Request) && !one.connection_waits(0));
-  attempt.say(answer("200 OK", "y"));
-  assert(out.answer_status() == 200);
+  attempt.send_text(answer("200 OK", "x"));
+  assert(out.response_status() == 200);
+  wait_until_reusable();
+  out.send_text(post_request("/y", "effect"));  // and its connection is the next pool's
+  assert(attempt.receive_message(HttpReader::Side::Request) && !one.has_connection_within(0));
+  attempt.send_text(answer("200 OK", "y"));
+  assert(out.response_status() == 200);
   site.reload(body("on"));  // that stood idle this time
-  settle();
-  out.say(post("/z", "effect"));
-  assert(attempt.hear(HttpReader::Side::Request) && !one.connection_waits(0));
-  attempt.say(answer("200 OK", "z"));
-  assert(out.answer_status() == 200);
+  wait_until_reusable();
+  out.send_text(post_request("/z", "effect"));
+  assert(attempt.receive_message(HttpReader::Side::Request) && !one.has_connection_within(0));
+  attempt.send_text(answer("200 OK", "z"));
+  assert(out.response_status() == 200);
 }
 
-void a_static_endpoint_that_refuses_is_left_alone_and_found_again() {
+void refusing_static_endpoint_is_ejected_and_used_again_on_recovery() {
   Listener one(2);
-  const std::string dead = here(5) + ":5005";
+  const std::string dead = loopback_address(5) + ":5005";
   Serving site(pool("a", {{"one", one.address}, {"two", dead}}) + route("a", "path /; to a; as status"));
-  Line client(site.listen);
-  std::optional<Line> attempt;
+  TestConnection client(site.listen);
+  std::optional<TestConnection> attempt;
   auto served = [&] {
-    if (attempt) settle();
-    client.say(get("/x"));
-    if (!attempt) attempt = one.take();
-    auto request = attempt->hear(HttpReader::Side::Request);
+    if (attempt) wait_until_reusable();
+    client.send_text(get_request("/x"));
+    if (!attempt) attempt = one.accept_connection();
+    auto request = attempt->receive_message(HttpReader::Side::Request);
     assert(request);
-    attempt->say(answer("200 OK", "x"));
-    return client.answer_status();
+    attempt->send_text(answer("200 OK", "x"));
+    return client.response_status();
   };
   // Whichever is tried first: connecting fails, nothing ran, the other serves.
   for (int i = 0; i < 20; ++i) assert(served() == 200);
@@ -377,7 +380,7 @@
   Delivering endpoints({&one, &back});
   endpoints.adopt(std::move(*attempt));
   for (double until = now() + 20; endpoints.delivered[1] == 0 && now() < until;) {
-    client.say(get("/x"));
+    client.send_text(get_request("/x"));
     assert(endpoints.serve(client) == 200);
   }
   assert(endpoints.delivered[1] > 0);
@@ -391,7 +394,7 @@
            std::to_string(1 + version % 3) + " }\n" + route("a", "path /; to " + name + "; as consent");
   };
   Serving site(body(0));
-  Line client(site.listen);
+  TestConnection client(site.listen);
   Delivering endpoint({&one});
   int before = site.descriptors(), served = 0;
   double until = now() + 3;
@@ -399,14 +402,14 @@
     site.write(body(version));
     site.hang_up();
     for (double next = now() + 0.1; now() < next; ++served) {
-      client.say(post("/x", "effect"));
+      client.send_text(post_request("/x", "effect"));
       assert(endpoint.serve(client) == 200);
     }
   }
   std::printf("%d visits over %d reloads\n", served, site.count("site.reloaded"));
   assert(endpoint.delivered[0] == served);  // none twice
   assert(site.count("site.reloaded") >= 20 && site.count("site.kept") == 0);
-  endpoint.shut();
+  endpoint.disconnect();
   sleep_for(2.2);  // pools that ended are gone by now, with all that they had open
   assert(site.descriptors() <= before + 3);
   site.reload(body(1000));
@@ -415,7 +418,7 @@
 }
 
 // Rule 4 without a platform that says how old an endpoint is.
-void a_new_static_endpoint_of_a_busy_pool_is_not_pushed_over() {
+void new_static_endpoint_of_a_busy_pool_gets_a_slow_start() {
   Listener one(2), fresh(3);
   auto body = [&](bool both) {
     std::string made = "pool a { endpoint one " + one.address + "; warm-after 30s; cold-share 5%";
@@ -423,12 +426,12 @@
            route("a", "path /; to a; as status");
   };
   Serving site(body(false));
-  Line client(site.listen);
+  TestConnection client(site.listen);
   Delivering endpoints({&one, &fresh});
   auto requests_for = [&](double seconds) {
     int count = 0;
     for (double until = now() + seconds; now() < until; ++count) {
-      client.say(get("/x"));
+      client.send_text(get_request("/x"));
       assert(endpoints.serve(client) == 200);
     }
     return count;
@@ -441,7 +444,7 @@
 }
 
 // Descriptors are one matter of all pools: what stands idle in one makes room for an attempt of another.
-void a_pool_s_idle_connections_give_way_to_another_pool_s_attempts() {
+void idle_connections_of_one_pool_make_room_for_attempts_of_another() {
   std::deque<Listener> listeners;
   std::vector<Listener*> all;
   std::vector<std::pair<std::string, std::string>> endpoints;
@@ -454,69 +457,70 @@
   Serving site("limits { descriptors 64 }\n" + pool("a", endpoints) + pool("b", last) +
                route("a", "path /a; to a; as status") + route("b", "path /b; to b; as status"));
   // 40 may be open: a listener, 18 clients and 18 attempts for them.
-  std::vector<Line> clients, attempts;
+  std::vector<TestConnection> clients, attempts;
   for (int i = 0; i < 18; ++i) {
     clients.emplace_back(site.listen);
-    clients.back().say(get("/a"));
-    while (std::none_of(all.begin(), all.end(), [](Listener* one) { return one->connection_waits(0); }))
+    clients.back().send_text(get_request("/a"));
+    while (std::none_of(all.begin(), all.end(), [](Listener* one) { return one->has_connection_within(0); }))
       sleep_for(0.001);
     for (Listener* one : all) {
-      if (one->connection_waits(0)) attempts.push_back(one->take());
+      if (one->has_connection_within(0)) attempts.push_back(one->accept_connection());
     }
   }
-  for (Line& attempt : attempts)
-    assert(attempt.hear(HttpReader::Side::Request)), attempt.say(answer("200 OK", "x"));
-  for (Line& client : clients) assert(client.answer_status() == 200);
-  for (int i = 0; i < 6; ++i) clients[std::size_t(i)].say(get("/b"));
-  std::vector<Line> others;
+  for (TestConnection& attempt : attempts)
+    assert(attempt.receive_message(HttpReader::Side::Request)), attempt.send_text(answer("200 OK", "x"));
+  for (TestConnection& client : clients) assert(client.response_status() == 200);
+  for (int i = 0; i < 6; ++i) clients[std::size_t(i)].send_text(get_request("/b"));
+  std::vector<TestConnection> others;
   for (int i = 0; i < 6; ++i) {
-    others.push_back(listeners.back().take());
-    assert(others.back().hear(HttpReader::Side::Request));
+    others.push_back(listeners.back().accept_connection());
+    assert(others.back().receive_message(HttpReader::Side::Request));
   }
-  for (Line& attempt : others) attempt.say(answer("200 OK", "x"));
-  for (int i = 0; i < 6; ++i) assert(clients[std::size_t(i)].answer_status() == 200);
-  assert(std::any_of(attempts.begin(), attempts.end(), [](Line& attempt) { return attempt.ended(0.01); }));
+  for (TestConnection& attempt : others) attempt.send_text(answer("200 OK", "x"));
+  for (int i = 0; i < 6; ++i) assert(clients[std::size_t(i)].response_status() == 200);
+  assert(std::any_of(attempts.begin(), attempts.end(),
+                     [](TestConnection& attempt) { return attempt.ends_within(0.01); }));
 }
 
-void a_version_read_while_leaving_opens_no_listener() {
+void reload_during_shutdown_opens_no_listener() {
   Listener one(2);
   const std::string good = pool("a", {{"one", one.address}}) + route("a", "path /; to a; as consent");
-  const std::string second = here(7) + ":5007";
+  const std::string second = loopback_address(7) + ":5007";
   Serving site(good);
-  Line out(site.listen);
-  out.say(post("/x", "effect"));
-  auto [attempt, request] = one.take_request();
+  TestConnection out(site.listen);
+  out.send_text(post_request("/x", "effect"));
+  auto [attempt, request] = one.accept_request();
   site.terminate();
   site.wait_for("site.leaving");
   site.reload(good + listener("second", second));
-  assert(!Line(second).connected);
-  attempt.say(answer("200 OK", "x"));
-  assert(out.answer_status() == 200);
-  out.shut();
+  assert(!TestConnection(second).connected);
+  attempt.send_text(answer("200 OK", "x"));
+  assert(out.response_status() == 200);
+  out.disconnect();
   assert(site.exit_code(4) == 0);
 }
 
 // Those of a pool that has ended as well: it is on no list of the version that leaves.
-void requests_that_were_to_have_longer_than_there_is_until_sigkill_are_answered() {
+void requests_with_long_client_timeouts_are_answered_before_sigkill() {
   Listener one(2), two(3);
   auto site_of = [&](const Listener& to, const std::string& name) {
     return "prefix slow { kind mutating; target-latency 500ms; client-timeout 20s }\n" +
            pool(name, {{"one", to.address}}) + route("a", "path /; to " + name + "; as slow");
   };
   Serving site(site_of(one, "a"));
-  Line ended(site.listen), kept(site.listen);
-  ended.say(post("/x", "effect"));
-  auto [first, request] = one.take_request();
+  TestConnection ended(site.listen), kept(site.listen);
+  ended.send_text(post_request("/x", "effect"));
+  auto [first, request] = one.accept_request();
   site.reload(site_of(two, "b"));
-  kept.say(post("/y", "effect"));
-  auto [second, asked] = two.take_request();
+  kept.send_text(post_request("/y", "effect"));
+  auto [second, asked] = two.accept_request();
   double begun = now();
   site.terminate();
   assert(site.exit_code(3.7 - (now() - begun)) == 0);
-  assert(ended.answer_status() == 502 && kept.answer_status() == 502);
+  assert(ended.response_status() == 502 && kept.response_status() == 502);
 }
 
-void a_line_of_the_json_log_is_an_object_with_its_fields() {
+void json_log_lines_are_objects_with_their_fields() {
   Listener one(2);
   const std::string good = pool("a", {{"one", one.address}}) + route("a", "path /; to a; as status");
   Serving site(good, {"--log-format", "json"});
@@ -539,7 +543,7 @@
 }
 
 // The site starts, and takes a listener more, though there is no descriptor for it at first.
-void a_listener_that_finds_no_descriptor_is_opened_later() {
+void listener_is_opened_once_a_descriptor_is_available() {
   Listener endpoint(2);
   const std::string body = pool("a", {{"one", endpoint.address}}) + route("a", "path /a; to a; as status");
   Faults faults(library, "socket ENFILE to=3");
@@ -548,13 +552,13 @@
   for (const auto& [name, value] : faults.environment()) unsetenv(name.c_str());
   assert(faults.played("socket ENFILE") == 3);
   faults.change("socket EMFILE to=3");
-  site.reload(listener("more", here(1) + ":5011") + body);
+  site.reload(listener("more", loopback_address(1) + ":5011") + body);
   assert(faults.played("socket EMFILE") == 3);
-  Line client(here(1) + ":5011");
+  TestConnection client(loopback_address(1) + ":5011");
   assert(client.connected && site.count("site.kept") == 0);
 }
 
-void a_site_with_faults_is_not_begun() {
+void invalid_site_does_not_start() {
   const std::string file = "/tmp/serving-bad-" + std::to_string(getpid()) + ".site";
   std::ofstream(file) << "nonsense\n";
   int status = std::system((program + " serve " + file + " > /dev/null 2>&1").c_str());
@@ -569,23 +573,23 @@
   signal(SIGPIPE, SIG_IGN);
   program = words[1];
   library = words[2];
-  a_listener_that_finds_no_descriptor_is_opened_later();
-  each_route_leads_to_its_pool_and_status_and_headers_pass();
-  an_endpoint_s_own_error_reaches_the_client_of_an_unsafe_request();
-  a_head_is_answered_without_its_body_and_the_connection_goes_on();
-  a_version_with_a_fault_changes_nothing();
-  a_listener_that_can_t_be_bound_keeps_the_old_version_serving();
-  a_listener_that_goes_lets_its_clients_have_their_answers();
-  two_pools_swap_endpoints_while_unsafe_requests_are_out();
-  a_pool_that_stays_keeps_its_connections_and_one_that_goes_ends_its_requests();
-  a_pool_whose_values_change_ends_its_requests_under_the_old_ones();
-  a_static_endpoint_that_refuses_is_left_alone_and_found_again();
+  listener_is_opened_once_a_descriptor_is_available();
+  routes_select_pools_and_responses_pass_through();
+  endpoint_error_response_reaches_the_client_of_an_unsafe_request();
+  head_response_has_no_body_and_the_connection_is_reused();
+  invalid_site_version_changes_nothing();
+  bind_failure_keeps_the_old_site_version();
+  removed_listener_still_answers_its_pending_requests();
+  pools_swap_endpoints_while_unsafe_requests_are_pending();
+  unchanged_pool_keeps_connections_and_removed_pool_finishes_its_requests();
+  changed_pool_finishes_pending_requests_under_the_old_settings();
+  refusing_static_endpoint_is_ejected_and_used_again_on_recovery();
   ten_reloads_a_second_lose_no_request();
-  a_new_static_endpoint_of_a_busy_pool_is_not_pushed_over();
-  a_pool_s_idle_connections_give_way_to_another_pool_s_attempts();
-  a_version_read_while_leaving_opens_no_listener();
-  requests_that_were_to_have_longer_than_there_is_until_sigkill_are_answered();
-  a_line_of_the_json_log_is_an_object_with_its_fields();
-  a_site_with_faults_is_not_begun();
+  new_static_endpoint_of_a_busy_pool_gets_a_slow_start();
+  idle_connections_of_one_pool_make_room_for_attempts_of_another();
+  reload_during_shutdown_opens_no_listener();
+  requests_with_long_client_timeouts_are_answered_before_sigkill();
+  json_log_lines_are_objects_with_their_fields();
+  invalid_site_does_not_start();
   std::puts("serving: all stories hold");
 }
--- a/tests/integration/slow_reader_test.cpp
+++ b/tests/integration/slow_reader_test.cpp
@@ -17,37 +17,37 @@
 class SlowReader : public testing::Test {
  protected:
   SlowReader() {
-    Running::Options options;
-    options.admin = here(3) + ":5003";
-    sidecar_ = std::make_unique<Running>(entry("a", endpoint_.address), options);
+    SidecarProcess::Options options;
+    options.admin = loopback_address(3) + ":5003";
+    sidecar_ = std::make_unique<SidecarProcess>(list_entry_json("a", endpoint_.address), options);
   }
   void evacuate() const {
-    Line line(here(3) + ":5003");
-    line.say("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(line.answer_status(), 200);
+    TestConnection line(loopback_address(3) + ":5003");
+    line.send_text("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(line.response_status(), 200);
   }
   // Asks, has the endpoint answer after a while, and sends another request while the answer lies unread.
-  void ask_and_send_more(Line& client, double response_time_s) {
-    client.say(get("", "first"));
-    auto [attempt, request] = endpoint_.take_request();
+  void ask_and_send_more(TestConnection& client, double response_time_s) {
+    client.send_text(get_request("", "first"));
+    auto [attempt, request] = endpoint_.accept_request();
     sleep_for(response_time_s);
-    attempt.say(ok(std::string(kAnswerBytes, 'x')));
+    attempt.send_text(ok_response(std::string(kAnswerBytes, 'x')));
     sleep_for(0.1);
-    client.say(get("", "second"));
+    client.send_text(get_request("", "second"));
   }
-  static std::size_t body_bytes(Line& client) {
-    std::optional<HttpMessage> answer = client.hear(HttpReader::Side::Response, kAnswerBytes);
+  static std::size_t body_bytes(TestConnection& client) {
+    std::optional<HttpMessage> answer = client.receive_message(HttpReader::Side::Response, kAnswerBytes);
     return answer ? answer->body.size() : 0;
   }
 
   Listener endpoint_{2};
-  std::unique_ptr<Running> sidecar_;
+  std::unique_ptr<SidecarProcess> sidecar_;
 };
 
 TEST_F(SlowReader, GetsTheWholeLastAnswerOfAnEvacuatedProcess) {
   constexpr double kAnswersAreLastAfterS = 0.5;
   constexpr double kConnectionIsClosedAfterS = 1.5;
-  Line client(sidecar_->listen);
+  TestConnection client(sidecar_->listen);
   evacuate();
   sleep_for(kAnswersAreLastAfterS);
 
@@ -58,9 +58,9 @@
 }
 
 TEST_F(SlowReader, GetsTheWholeAnswerOfAProcessThatHasEnded) {
-  Line client(sidecar_->listen);
-  client.say("GET /healthz HTTP/1.1\r\n\r\n");
-  ASSERT_EQ(client.answer_status(), 200);
+  TestConnection client(sidecar_->listen);
+  client.send_text("GET /healthz HTTP/1.1\r\n\r\n");
+  ASSERT_EQ(client.response_status(), 200);
 
   sidecar_->terminate();
   sleep_for(0.85);
--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -28,23 +28,24 @@
 // Said by endpoints that take one request a connection: each attempt needs a connect.
 const std::string kLast = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx";
 
-Running::Options under(const Faults& faults) {
-  Running::Options options;
+SidecarProcess::Options under(const Faults& faults) {
+  SidecarProcess::Options options;
   options.environment = faults.environment();
   return options;
 }
 
-std::string admin_of(int number) { return here(3) + ":" + std::to_string(5100 + number); }
+std::string admin_of(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
 
 // A few endpoints, and the program under test before them.
 struct Fleet {
-  explicit Fleet(const Faults& faults, const std::string& answer = ok("x"), int number = 3) {
+  explicit Fleet(const Faults& faults, const std::string& answer = ok_response("x"), int number = 3) {
     std::string known;
     for (int i = 0; i < number; ++i) {
-      endpoints.push_back(std::make_unique<Answering>(2 + i, answer));
-      known += (i > 0 ? "," : "") + entry("e" + std::to_string(i), endpoints.back()->listener.address);
+      endpoints.push_back(std::make_unique<AnsweringEndpoint>(2 + i, answer));
+      known +=
+          (i > 0 ? "," : "") + list_entry_json("e" + std::to_string(i), endpoints.back()->listener.address);
     }
-    Running::Options options = under(faults);
+    SidecarProcess::Options options = under(faults);
     options.admin = admin_of(0);
     sidecar.emplace(known, options);
   }
@@ -59,9 +60,9 @@
   // How many endpoints it thinks ill of.
   int avoids() const {
     const std::string name = "\nsidecar_cluster_unhealthy ";
-    Line line(admin_of(0));
-    line.say("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.hear(HttpReader::Side::Response);
+    TestConnection line(admin_of(0));
+    line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+    auto answer = line.receive_message(HttpReader::Side::Response);
     assert(answer);
     const std::string text = answer->body.text();
     return std::stoi(text.substr(text.find(name) + name.size()));
@@ -69,7 +70,8 @@
   // Asks so often, on new connections; all have to be answered as if nothing were.
   void serves(int count) {
     std::map<int, int> statuses;
-    for (int i = 0; i < count; ++i) ++statuses[ask(i % 2 ? post("x") : get("", std::to_string(i)))];
+    for (int i = 0; i < count; ++i)
+      ++statuses[ask(i % 2 ? post_request("x") : get_request("", std::to_string(i)))];
     if (statuses[200] != count || late > 0) {
       for (auto [status, times] : statuses) std::printf("  status %d: %d times\n", status, times);
       std::printf("  %d late, the slowest after %.3f s\n", late, slowest);
@@ -77,8 +79,8 @@
     assert(statuses[200] == count && late == 0);
   }
 
-  std::vector<std::unique_ptr<Answering>> endpoints;
-  std::optional<Running> sidecar;
+  std::vector<std::unique_ptr<AnsweringEndpoint>> endpoints;
+  std::optional<SidecarProcess> sidecar;
   int late = 0;
   double slowest = 0;
 };
@@ -89,7 +91,7 @@
 
 // ---- at the start
 
-void a_program_starts_though_its_first_calls_fail() {
+void program_starts_when_its_first_system_calls_fail() {
   const struct {
     const char* schedule;
     const char* played;
@@ -114,34 +116,34 @@
   for (const auto& [schedule, played] : kRows) {
     std::printf("  %s\n", schedule);
     Faults faults(library, schedule);
-    Fleet fleet(faults, ok("x"), 1);
-    assert(fleet.ask(get()) == 200);
+    Fleet fleet(faults, ok_response("x"), 1);
+    assert(fleet.ask(get_request()) == 200);
     assert(faults.played(played) > 0);
     fleet.sidecar->terminate();
     assert(fleet.sidecar->exit_code(3) == 0);
   }
 }
 
-void a_configuration_that_cannot_be_opened_just_now_is_read_later() {
+void configuration_that_cannot_be_opened_is_read_later() {
   Faults faults(library);
-  Fleet fleet(faults, ok("x"), 1);
+  Fleet fleet(faults, ok_response("x"), 1);
   Listener moved(8);
   for (const char* error : {"EMFILE", "ENFILE", "EINTR", "ENOMEM"}) {
     faults.change(std::string("open ") + error);
-    fleet.sidecar->assign(moved.address);
+    fleet.sidecar->write_configuration(moved.address);
     fleet.sidecar->reload();
     wait_played(faults, std::string("open ") + error, 2);
     faults.stop();
-    Line watch = moved.take();
-    fleet.sidecar->assign(fleet.sidecar->discovery().address);
+    TestConnection watch = moved.accept_connection();
+    fleet.sidecar->write_configuration(fleet.sidecar->discovery().address);
     fleet.sidecar->reload();
-    assert(watch.ended());
+    assert(watch.ends_within());
   }
 }
 
 // ---- connections to endpoints
 
-void a_connect_that_fails_here_blames_no_endpoint() {
+void local_connect_failure_ejects_no_endpoint() {
   for (const char* error : {"ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "ENETUNREACH", "EAGAIN", "EINTR"}) {
     std::printf("  %s\n", error);
     Faults faults(library);
@@ -164,22 +166,22 @@
 
 // While nothing can be connected a request is rejected, as it has not run; the moment after, nobody is
 // avoided.
-void while_no_connection_can_be_made_requests_are_rejected_and_nobody_is_blamed() {
+void requests_are_rejected_and_no_endpoint_ejected_while_connect_fails() {
   Faults faults(library);
   Fleet fleet(faults, kLast, 1);
   for (const char* fault : {"connect EADDRNOTAVAIL", "socket ENFILE"}) {
     faults.change(fault);
-    for (int i = 0; i < 5; ++i) assert(fleet.ask(post("x"), 1) == 503);
+    for (int i = 0; i < 5; ++i) assert(fleet.ask(post_request("x"), 1) == 503);
     assert(fleet.avoids() == 0);
     faults.stop();
-    for (int i = 0; i < 5; ++i) assert(fleet.ask(post("x")) == 200);
+    for (int i = 0; i < 5; ++i) assert(fleet.ask(post_request("x")) == 200);
   }
   assert(fleet.late == 0);
 }
 
 // ---- the loop
 
-void a_socket_that_epoll_has_no_room_for_is_served_all_the_same() {
+void sockets_are_served_when_epoll_cannot_register_them() {
   for (const char* fault :
        {"ENOMEM each=2", "ENOMEM n=1", "ENOMEM n=2", "ENOMEM n=3", "ENOSPC each=7", "ENOMEM"}) {
     std::printf("  %s\n", fault);
@@ -191,7 +193,7 @@
   }
 }
 
-void waits_that_are_interrupted_or_find_no_memory_lose_nothing() {
+void interrupted_or_failing_waits_lose_no_request() {
   for (const char* schedule : {"epoll_wait EINTR each=2", "poll EINTR each=2", "poll ENOMEM each=2",
                                "poll ENOMEM each=3", "poll ENOMEM each=4", "setsockopt ENOBUFS each=2",
                                "shutdown ENOTCONN each=2", "close EINTR each=2", "close EIO each=3"}) {
@@ -205,7 +207,7 @@
 
 // ---- bytes
 
-void a_send_or_receive_that_fails_for_a_moment_is_made_again() {
+void temporary_send_and_recv_failures_are_retried() {
   for (const char* schedule :
        {"send ENOBUFS each=2", "send ENOMEM each=3", "send EINTR each=2", "send EAGAIN each=2",
         "send short=1", "send short=3 each=2; send ENOBUFS each=5", "recv ENOMEM each=2",
@@ -220,29 +222,29 @@
 }
 
 // A long body and a long answer go out in many pieces, some of which wait.
-void long_messages_go_whole_through_calls_that_fail_and_are_short() {
+void long_messages_survive_short_and_failing_calls() {
   const std::string body(60'000, 'b');
   Faults faults(library);
-  Fleet fleet(faults, ok(std::string(60'000, 'a')), 2);
+  Fleet fleet(faults, ok_response(std::string(60'000, 'a')), 2);
   faults.change("send ENOBUFS each=5; send short=4000 each=2; recv short=4000 each=2; recv ENOMEM each=9");
   for (int i = 0; i < 5; ++i) {
-    Line client(fleet.sidecar->listen);
-    client.say(post(body));
-    auto answer = client.hear(HttpReader::Side::Response);
+    TestConnection client(fleet.sidecar->listen);
+    client.send_text(post_request(body));
+    auto answer = client.receive_message(HttpReader::Side::Response);
     assert(answer && answer->status == 200 && answer->body.size() == 60'000);
   }
 }
 
 // The first send after a quiet time is that of the request: nothing of it was accepted, so it has not run,
 // and goes elsewhere though it may run only once.
-void a_request_of_which_nothing_could_be_sent_goes_elsewhere() {
+void request_that_could_not_be_sent_moves_to_another_endpoint() {
   for (const char* error : {"EPIPE", "ECONNRESET", "ETIMEDOUT", "EHOSTUNREACH", "ENETDOWN", "EPERM"}) {
     std::printf("  %s\n", error);
     Faults faults(library);
     Fleet fleet(faults, kLast);
     for (int i = 0; i < 4; ++i) {
       faults.change(std::string("send ") + error + " n=1 only=tcp");
-      assert(fleet.ask(post("x"), 0.5) == 200);
+      assert(fleet.ask(post_request("x"), 0.5) == 200);
       faults.stop();
     }
     assert(faults.played(std::string("send ") + error) == 4 && fleet.late == 0);
@@ -251,78 +253,78 @@
 
 // An answer that can't be sent to a client that lives on: its connection ends, it does not stand there for
 // ever.
-void a_client_that_cannot_be_answered_sees_its_connection_end() {
+void connection_of_an_unreachable_client_is_closed() {
   for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "EPIPE"}) {
     Faults faults(library);
     Listener endpoint(2);
-    Running sidecar(entry("a", endpoint.address), under(faults));
-    Line client(sidecar.listen);
-    client.say(get());
-    auto [attempt, request] = endpoint.take_request();
+    SidecarProcess sidecar(list_entry_json("a", endpoint.address), under(faults));
+    TestConnection client(sidecar.listen);
+    client.send_text(get_request());
+    auto [attempt, request] = endpoint.accept_request();
     faults.change(std::string("send ") + error + " to=2 only=tcp");
-    attempt.say(ok("x"));
-    assert(client.ended(0.5));
+    attempt.send_text(ok_response("x"));
+    assert(client.ends_within(0.5));
     assert(faults.played(std::string("send ") + error) > 0);
   }
 }
 
 // A send that finds no memory for longer than the request has: nobody is blamed, and the unsafe request, of
 // which nothing was accepted, is rejected and not failed.
-void a_request_that_could_not_be_sent_in_its_time_has_not_run() {
+void request_that_could_not_be_sent_before_its_deadline_is_rejected() {
   Faults faults(library);
   Fleet fleet(faults, kLast, 1);
   faults.change("send ENOBUFS from=1");
-  Line client(fleet.sidecar->listen);
-  client.say(post("x"));
+  TestConnection client(fleet.sidecar->listen);
+  client.send_text(post_request("x"));
   sleep_for(0.7);  // it is tried again all the while
   assert(faults.played("send ENOBUFS") > 5);
   faults.stop();
-  int status = client.answer_status();
+  int status = client.response_status();
   assert(status == 200 || status == 503);
   assert(fleet.avoids() == 0);
-  for (int i = 0; i < 5; ++i) assert(fleet.ask(post("x")) == 200);
+  for (int i = 0; i < 5; ++i) assert(fleet.ask(post_request("x")) == 200);
 }
 
 // ---- clients
 
-void a_connection_that_was_aborted_holds_up_nobody_behind_it() {
+void aborted_connection_does_not_delay_the_next_one() {
   for (const char* error : {"ECONNABORTED", "EPROTO", "EINTR", "EHOSTUNREACH", "ENETDOWN", "EPERM"}) {
     Faults faults(library);
     Fleet fleet(faults);
     faults.change(std::string("accept ") + error + " to=40 only=tcp");
-    assert(fleet.ask(get()) == 200);
+    assert(fleet.ask(get_request()) == 200);
     assert(faults.played(std::string("accept ") + error) == 40);
     assert(fleet.late == 0);
   }
 }
 
-void a_connection_that_cannot_be_accepted_yet_is_served_later() {
+void connection_is_served_once_accept_succeeds() {
   for (const char* error : {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}) {
     Faults faults(library);
     Fleet fleet(faults);
     faults.change(std::string("accept ") + error + " to=4 only=tcp");
-    assert(fleet.ask(get()) == 200);
+    assert(fleet.ask(get_request()) == 200);
     assert(faults.played(std::string("accept ") + error) == 4);
     assert(fleet.late == 0);
   }
 }
 
 // Told to end while those who wait can't be let in: they are, once that is over, and answered.
-void who_waits_at_a_shutdown_is_let_in_once_that_can_be() {
+void clients_waiting_at_shutdown_are_accepted_once_possible() {
   Faults faults(library);
   Fleet fleet(faults);
   faults.change("accept ENFILE");
-  Line client(fleet.sidecar->listen);
-  client.say(get());
+  TestConnection client(fleet.sidecar->listen);
+  client.send_text(get_request());
   fleet.sidecar->terminate();
   sleep_for(0.6);  // longer than it lets clients in after it was told
   faults.stop();
-  assert(client.answer_status() == 200);
+  assert(client.response_status() == 200);
 }
 
 // ---- calls that go on failing
 
-void calls_that_go_on_failing_cost_no_processor() {
+void persistently_failing_calls_do_not_busy_loop() {
   for (const char* schedule :
        {"send ENOBUFS", "recv ENOMEM", "accept ENFILE", "poll ENOMEM", "epoll_ctl ENOMEM", "connect ENOBUFS",
         "socket EMFILE", "send EINTR", "recv EINTR"}) {
@@ -330,8 +332,9 @@
     Faults faults(library);
     Fleet fleet(faults, kLast);
     faults.change(schedule);
-    std::vector<Line> clients;
-    for (int i = 0; i < 10; ++i) clients.emplace_back(fleet.sidecar->listen).say(get("", std::to_string(i)));
+    std::vector<TestConnection> clients;
+    for (int i = 0; i < 10; ++i)
+      clients.emplace_back(fleet.sidecar->listen).send_text(get_request("", std::to_string(i)));
     double before = fleet.sidecar->cpu_seconds();
     sleep_for(0.5);
     double used = fleet.sidecar->cpu_seconds() - before;
@@ -340,62 +343,62 @@
     faults.stop();
     clients.clear();
     sleep_for(0.1);
-    assert(fleet.ask(get(), 0.5) == 200 && fleet.late == 0);
+    assert(fleet.ask(get_request(), 0.5) == 200 && fleet.late == 0);
   }
 }
 
 // ---- two processes of one sidecar
 
 bool ready(int number) {
-  Line line(admin_of(number));
+  TestConnection line(admin_of(number));
   if (!line.connected) return false;
-  line.say("GET /api/ready HTTP/1.1\r\n\r\n");
-  return line.answer_status() == 200;
+  line.send_text("GET /api/ready HTTP/1.1\r\n\r\n");
+  return line.response_status() == 200;
 }
 
 // Clients that rest, on connections that go over to the new process: all are served by it, on those.
-void a_takeover_through_failing_calls(const char* of_elder, const char* of_heir) {
+void check_takeover_with_faults(const char* of_elder, const char* of_heir) {
   std::printf("  elder: %s; heir: %s\n", of_elder, of_heir);
   Listener discovery(9);
-  Answering endpoint(2);
+  AnsweringEndpoint endpoint(2);
   Faults elder_faults(library), heir_faults(library, of_heir);
   auto options = [&](int number, const Faults& faults) {
-    Running::Options made = under(faults);
+    SidecarProcess::Options made = under(faults);
     made.admin = admin_of(number);
     made.number = number;
     made.discovery = &discovery;
     return made;
   };
-  const std::string known = entry("a", endpoint.listener.address);
-  Running predecessor(known, options(0, elder_faults));
-  std::vector<Line> clients;
+  const std::string known = list_entry_json("a", endpoint.listener.address);
+  SidecarProcess predecessor(known, options(0, elder_faults));
+  std::vector<TestConnection> clients;
   for (int i = 0; i < 10; ++i) {
-    clients.emplace_back(predecessor.listen).say(get("", std::to_string(i)));
-    assert(clients.back().answer_status() == 200);
+    clients.emplace_back(predecessor.listen).send_text(get_request("", std::to_string(i)));
+    assert(clients.back().response_status() == 200);
   }
   elder_faults.change(of_elder);
-  Running successor(known, options(1, heir_faults));
+  SidecarProcess successor(known, options(1, heir_faults));
   for (double until = now() + 6; !ready(1); sleep_for(0.01)) assert(now() < until);
   predecessor.terminate();
   assert(predecessor.exit_code(3) == 0);
-  for (Line& client : clients) {
-    client.say(get());
-    assert(client.answer_status() == 200);
+  for (TestConnection& client : clients) {
+    client.send_text(get_request());
+    assert(client.response_status() == 200);
   }
 }
 
-void a_takeover_goes_through_calls_that_fail_for_a_moment() {
-  a_takeover_through_failing_calls("", "connect EINTR n=1 only=unix");
-  a_takeover_through_failing_calls("", "connect EAGAIN to=3 only=unix");
-  a_takeover_through_failing_calls("", "socket ENFILE n=1 only=unix");
-  a_takeover_through_failing_calls("", "poll EINTR n=1");
-  a_takeover_through_failing_calls("", "poll ENOMEM n=1");
-  a_takeover_through_failing_calls("", "recv ENOMEM each=2 only=unix");
-  a_takeover_through_failing_calls("", "recv EINTR each=2 only=unix");
-  a_takeover_through_failing_calls("accept ENFILE n=1 only=unix", "");
-  a_takeover_through_failing_calls("send ENOBUFS each=2 only=unix", "");
-  a_takeover_through_failing_calls("send EAGAIN each=2 only=unix", "send ENOMEM n=1 only=unix");
-  a_takeover_through_failing_calls("recv ENOMEM each=2 only=unix", "recv short=1");
+void takeover_survives_temporary_failures() {
+  check_takeover_with_faults("", "connect EINTR n=1 only=unix");
+  check_takeover_with_faults("", "connect EAGAIN to=3 only=unix");
+  check_takeover_with_faults("", "socket ENFILE n=1 only=unix");
+  check_takeover_with_faults("", "poll EINTR n=1");
+  check_takeover_with_faults("", "poll ENOMEM n=1");
+  check_takeover_with_faults("", "recv ENOMEM each=2 only=unix");
+  check_takeover_with_faults("", "recv EINTR each=2 only=unix");
+  check_takeover_with_faults("accept ENFILE n=1 only=unix", "");
+  check_takeover_with_faults("send ENOBUFS each=2 only=unix", "");
+  check_takeover_with_faults("send EAGAIN each=2 only=unix", "send ENOMEM n=1 only=unix");
+  check_takeover_with_faults("recv ENOMEM each=2 only=unix", "recv short=1");
 }
 
 // ---- the log
@@ -419,7 +422,7 @@
   }
 };
 
-void a_log_that_could_not_be_written_once_is_written_again() {
+void log_recovers_after_a_failed_write() {
   Failing sink;
   std::ostream out(&sink);
   for (LogFormat format : {LogFormat::Plain, LogFormat::Json}) {
@@ -454,23 +457,23 @@
     void (*tell)();
   } const kTests[] = {
 #define TEST(name) {#name, name}
-      TEST(a_program_starts_though_its_first_calls_fail),
-      TEST(a_configuration_that_cannot_be_opened_just_now_is_read_later),
-      TEST(a_connect_that_fails_here_blames_no_endpoint),
-      TEST(while_no_connection_can_be_made_requests_are_rejected_and_nobody_is_blamed),
-      TEST(a_socket_that_epoll_has_no_room_for_is_served_all_the_same),
-      TEST(waits_that_are_interrupted_or_find_no_memory_lose_nothing),
-      TEST(a_send_or_receive_that_fails_for_a_moment_is_made_again),
-      TEST(long_messages_go_whole_through_calls_that_fail_and_are_short),
-      TEST(a_request_of_which_nothing_could_be_sent_goes_elsewhere),
-      TEST(a_client_that_cannot_be_answered_sees_its_connection_end),
-      TEST(a_request_that_could_not_be_sent_in_its_time_has_not_run),
-      TEST(a_connection_that_was_aborted_holds_up_nobody_behind_it),
-      TEST(a_connection_that_cannot_be_accepted_yet_is_served_later),
-      TEST(who_waits_at_a_shutdown_is_let_in_once_that_can_be),
-      TEST(calls_that_go_on_failing_cost_no_processor),
-      TEST(a_takeover_goes_through_calls_that_fail_for_a_moment),
-      TEST(a_log_that_could_not_be_written_once_is_written_again),
+      TEST(program_starts_when_its_first_system_calls_fail),
+      TEST(configuration_that_cannot_be_opened_is_read_later),
+      TEST(local_connect_failure_ejects_no_endpoint),
+      TEST(requests_are_rejected_and_no_endpoint_ejected_while_connect_fails),
+      TEST(sockets_are_served_when_epoll_cannot_register_them),
+      TEST(interrupted_or_failing_waits_lose_no_request),
+      TEST(temporary_send_and_recv_failures_are_retried),
+      TEST(long_messages_survive_short_and_failing_calls),
+      TEST(request_that_could_not_be_sent_moves_to_another_endpoint),
+      TEST(connection_of_an_unreachable_client_is_closed),
+      TEST(request_that_could_not_be_sent_before_its_deadline_is_rejected),
+      TEST(aborted_connection_does_not_delay_the_next_one),
+      TEST(connection_is_served_once_accept_succeeds),
+      TEST(clients_waiting_at_shutdown_are_accepted_once_possible),
+      TEST(persistently_failing_calls_do_not_busy_loop),
+      TEST(takeover_survives_temporary_failures),
+      TEST(log_recovers_after_a_failed_write),
 #undef TEST
   };
   int notified = 0;
