--- a/src/admin/telemetry.cpp
+++ b/src/admin/telemetry.cpp
@@ -57,7 +57,7 @@
   return text;
 }
 
-std::string write_telemetry(const std::vector<fleet::Fleet::Figure>& figures) {
+std::string write_telemetry(const std::vector<fleet::Fleet::Metric>& figures) {
   std::string text;
   for (const auto& one : figures)
     single(text, std::string("fleet_") + one.name, one.type, one.help, one.value);
--- a/src/admin/telemetry.h
+++ b/src/admin/telemetry.h
@@ -19,6 +19,6 @@
 std::string write_telemetry(const std::vector<RequestClass>& request_classes, const RequestCounters& counters,
                             const Standing& standing, std::uint64_t dropped_log_lines);
 
-std::string write_telemetry(const std::vector<fleet::Fleet::Figure>& figures);
+std::string write_telemetry(const std::vector<fleet::Fleet::Metric>& figures);
 
 }  // namespace puffinvane
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 namespace fs = std::filesystem;
-using language::Reading;
+using language::ReadResult;
 using nlohmann::json;
 
 enum Exit { Good = 0, Bad = 1, Useless = 2 };
@@ -34,10 +34,10 @@
 }
 
 // Says what is wrong with it; the exit code, Good if nothing is.
-int tell(const std::string& file, const Reading& reading) {
+int tell(const std::string& file, const ReadResult& reading) {
   if (!reading.found) return unreadable(file);
-  if (reading.messages.none()) return Good;
-  std::cerr << language::shown(reading.messages, reading.sources);
+  if (reading.diagnostics.empty()) return Good;
+  std::cerr << language::to_text(reading.diagnostics, reading.sources);
   return Bad;
 }
 
@@ -45,15 +45,16 @@
   int worst = Good;
   json all = json::array();
   for (const std::string& file : files) {
-    language::Disk disk;
-    Reading reading = language::read_site(file, disk);
+    language::DiskFileSource disk;
+    ReadResult reading = language::read_site(file, disk);
     if (!as_json || !reading.found) {
       worst = std::max(worst, tell(file, reading));
       continue;
     }
-    worst = std::max<int>(worst, reading.messages.none() ? Good : Bad);
-    json one = {{"file", file}, {"messages", json::parse(language::json(reading.messages, reading.sources))}};
-    if (reading.messages.none()) one["version"] = site::version(reading.site);
+    worst = std::max<int>(worst, reading.diagnostics.empty() ? Good : Bad);
+    json one = {{"file", file},
+                {"messages", json::parse(language::to_json(reading.diagnostics, reading.sources))}};
+    if (reading.diagnostics.empty()) one["version"] = site::version(reading.site);
     all.push_back(std::move(one));
   }
   if (as_json) std::cout << dumped(all) << "\n";
@@ -82,26 +83,26 @@
 int format(const std::vector<std::string>& files, bool in_place) {
   int worst = Good;
   for (const std::string& file : files) {
-    language::Disk disk;
+    language::DiskFileSource disk;
     std::optional<std::string> text = disk.read(file);
     if (!text) {
       worst = unreadable(file);
       continue;
     }
     language::Sources sources;
-    language::Messages messages;
+    language::Diagnostics messages;
     int number = sources.add(file, std::move(*text));
     language::Tree tree = language::parse(number, sources.text(number), messages);
-    if (!messages.none()) {
-      std::cerr << language::shown(messages, sources);
+    if (!messages.empty()) {
+      std::cerr << language::to_text(messages, sources);
       worst = std::max<int>(worst, Bad);
       continue;
     }
     std::string formatted = language::format(tree);
     // Cheap beside a file that says something else than it did.
-    language::Messages again;
+    language::Diagnostics again;
     language::Tree back = language::parse(number, formatted, again);
-    if (!again.none() || !language::same_meaning(tree, back)) {
+    if (!again.empty() || !language::is_equivalent(tree, back)) {
       std::cerr << "puffinvane: " << file << ": its layout can't be kept; it stays as it is\n";
       worst = Useless;
     } else if (!in_place) {
@@ -115,8 +116,8 @@
 }
 
 int diff(const std::string& before, const std::string& after, bool as_json) {
-  language::Disk disk;
-  Reading was = language::read_site(before, disk), is = language::read_site(after, disk);
+  language::DiskFileSource disk;
+  ReadResult was = language::read_site(before, disk), is = language::read_site(after, disk);
   if (tell(before, was) + tell(after, is) != Good) return Useless;
   std::vector<site::Difference> all = site::differences(was.site, is.site);
   constexpr const char* kKinds[] = {"added", "gone", "changed"};
@@ -157,8 +158,8 @@
 }
 
 int explain(const Asked& asked, const std::string& listener, bool as_json) {
-  language::Disk disk;
-  Reading reading = language::read_site(asked.file, disk);
+  language::DiskFileSource disk;
+  ReadResult reading = language::read_site(asked.file, disk);
   if (tell(asked.file, reading) != Good) return Useless;
   std::string host, target;
   if (!split(asked.url, host, target)) {
@@ -175,7 +176,7 @@
     std::string_view value = std::string_view(header).substr(colon + 1);
     value.remove_prefix(std::min(value.find_first_not_of(' '), value.size()));
     fields.push_back({std::string_view(header).substr(0, colon), value});
-    if (host.empty() && language::lower(fields.back().name) == "host") host = value;
+    if (host.empty() && language::to_lower(fields.back().name) == "host") host = value;
   }
   auto site = std::make_shared<const site::Site>(std::move(reading.site));
   std::string on = listener.empty() ? site->listeners.front().name : listener;
--- a/src/config/language/corpus_test.cpp
+++ b/src/config/language/corpus_test.cpp
@@ -1,5 +1,5 @@
-// The corpus: files that are wrong, each with its one message and where it points; and good ones on which
-// layout, reading again and differences agree.
+// The corpus: files that are wrong, each with its one diagnostic and where it points; and good ones on which
+// layout, result again and differences agree.
 #undef NDEBUG
 #include <cassert>
 #include <cstdio>
@@ -24,45 +24,45 @@
   return std::move(text).str();
 }
 
-// Files as they are, but for one that reads as something else.
-class Instead final : public Files {
+// FileSource as they are, but for one that reads as something else.
+class Instead final : public FileSource {
  public:
   Instead(std::string path, std::string text) : path_(std::move(path)), text_(std::move(text)) {}
   std::optional<std::string> read(const std::string& path) override {
     return path == path_ ? text_ : disk_.read(path);
   }
-  std::string real(const std::string& path) override { return disk_.real(path); }
+  std::string canonical_path(const std::string& path) override { return disk_.canonical_path(path); }
 
  private:
-  Disk disk_;
+  DiskFileSource disk_;
   std::string path_, text_;
 };
 
 void each_bad_file_says_what_and_where(const fs::path& folder) {
-  // Several lines of one file: several messages.
+  // Several lines of one file: several diagnostics.
   std::ifstream expected(folder / "expected.tsv");
   std::string line;
   std::map<std::string, std::vector<std::pair<std::string, std::string>>> files;
   while (std::getline(expected, line)) {
     std::istringstream parts(line);
-    std::string name, place, says;
-    std::getline(parts, name, '\t'), std::getline(parts, place, '\t'), std::getline(parts, says);
-    files[name].emplace_back(place, says);
+    std::string name, location, says;
+    std::getline(parts, name, '\t'), std::getline(parts, location, '\t'), std::getline(parts, says);
+    files[name].emplace_back(location, says);
   }
   int count = 0, wrong = 0;
   for (const auto& [name, wanted] : files) {
-    Disk disk;
-    Reading reading = read_site((folder / (name + ".site")).string(), disk);
-    assert(reading.found);
-    std::vector<Message> messages = reading.messages.in_order();
-    bool found = messages.size() == wanted.size();
+    DiskFileSource disk;
+    ReadResult result = read_site((folder / (name + ".site")).string(), disk);
+    assert(result.found);
+    std::vector<Diagnostic> diagnostics = result.diagnostics.sorted();
+    bool found = diagnostics.size() == wanted.size();
     for (std::size_t i = 0; found && i < wanted.size(); ++i)
-      found = where(messages[i], reading.sources).ends_with("/" + wanted[i].first) &&
-              messages[i].text.find(wanted[i].second) != std::string::npos;
+      found = where(diagnostics[i], result.sources).ends_with("/" + wanted[i].first) &&
+              diagnostics[i].text.find(wanted[i].second) != std::string::npos;
     ++count, wrong += !found;
     if (!found)
       std::fprintf(stderr, "%s: expected %s %s, got\n%s\n", name.c_str(), wanted[0].first.c_str(),
-                   wanted[0].second.c_str(), shown(reading.messages, reading.sources).c_str());
+                   wanted[0].second.c_str(), to_text(result.diagnostics, result.sources).c_str());
   }
   std::printf("%d bad files\n", count);
   assert(count >= 120 && wrong == 0);
@@ -74,19 +74,19 @@
     if (entry.path().extension() != ".site") continue;
     ++count;
     std::string path = entry.path().string(), text = text_of(path);
-    Disk disk;
-    Reading before = read_site(path, disk);
-    if (!before.messages.none()) std::fputs(shown(before.messages, before.sources).c_str(), stderr);
-    assert(before.found && before.messages.none());
-    Messages none;
+    DiskFileSource disk;
+    ReadResult before = read_site(path, disk);
+    if (!before.diagnostics.empty()) std::fputs(to_text(before.diagnostics, before.sources).c_str(), stderr);
+    assert(before.found && before.diagnostics.empty());
+    Diagnostics none;
     Tree tree = parse(0, text, none);
     std::string formatted = format(tree);
     Tree again = parse(0, formatted, none);
-    assert(none.none() && same_meaning(tree, again));
+    assert(none.empty() && is_equivalent(tree, again));
     assert(format(again) == formatted);
     Instead instead(path, formatted);
-    Reading after = read_site(path, instead);
-    assert(after.messages.none() && site::facts(before.site) == site::facts(after.site));
+    ReadResult after = read_site(path, instead);
+    assert(after.diagnostics.empty() && site::properties(before.site) == site::properties(after.site));
     assert(site::differences(before.site, after.site).empty());
     assert(site::version(before.site) == site::version(after.site));
     // Every comment is still there, in its order.
--- a/src/config/language/messages.cpp
+++ b/src/config/language/diagnostics.cpp
@@ -1,4 +1,4 @@
-#include "src/config/language/messages.h"
+#include "src/config/language/diagnostics.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -51,29 +51,33 @@
   return text;
 }
 
-void Messages::say(Place place, std::string text, std::string fix, std::vector<std::string> notes) {
+void Diagnostics::add(SourceLocation location, std::string text, std::string fix,
+                      std::vector<std::string> notes) {
   if (++count_ > kMost) return;
-  kept_.push_back({place, std::move(text), std::move(fix), std::move(notes)});
+  kept_.push_back({location, std::move(text), std::move(fix), std::move(notes)});
 }
 
-std::vector<Message> Messages::in_order() const {
-  std::vector<Message> all = kept_;
-  std::stable_sort(all.begin(), all.end(), [](const Message& one, const Message& other) {
-    auto key = [](const Message& it) { return std::tuple(it.place.file, it.place.line, it.place.column); };
+std::vector<Diagnostic> Diagnostics::sorted() const {
+  std::vector<Diagnostic> all = kept_;
+  std::stable_sort(all.begin(), all.end(), [](const Diagnostic& one, const Diagnostic& other) {
+    auto key = [](const Diagnostic& it) {
+      return std::tuple(it.location.file, it.location.line, it.location.column);
+    };
     return key(one) < key(other);
   });
   return all;
 }
 
-std::string where(const Message& message, const Sources& sources) {
-  return sources.path(message.place.file) + ":" + std::to_string(message.place.line) + ":" +
-         std::to_string(message.place.column);
+std::string where(const Diagnostic& diagnostic, const Sources& sources) {
+  return sources.path(diagnostic.location.file) + ":" + std::to_string(diagnostic.location.line) + ":" +
+         std::to_string(diagnostic.location.column);
 }
 
-std::string shown(const Message& message, const Sources& sources) {
-  std::string out = where(message, sources) + ": " + message.text + "\n";
-  std::vector<std::string> line = characters(sources.line(message.place.file, message.place.line));
-  std::size_t column = std::min<std::size_t>(message.place.column - 1, line.size());
+std::string to_text(const Diagnostic& diagnostic, const Sources& sources) {
+  std::string out = where(diagnostic, sources) + ": " + diagnostic.text + "\n";
+  std::vector<std::string> line =
+      characters(sources.line(diagnostic.location.file, diagnostic.location.line));
+  std::size_t column = std::min<std::size_t>(diagnostic.location.column - 1, line.size());
   std::size_t from = column > kWidest / 2 ? column - kWidest / 2 : 0;
   std::size_t to = std::min(line.size(), from + kWidest);
   if (line.size() <= kWidest) from = 0, to = line.size();
@@ -83,31 +87,31 @@
     if (i < column) under += line[i] == "\t" ? "\t" : " ";  // a tab is as wide under it as above
   }
   std::size_t length =
-      std::clamp<std::size_t>(message.place.length, 1, std::max<std::size_t>(1, to - column));
+      std::clamp<std::size_t>(diagnostic.location.length, 1, std::max<std::size_t>(1, to - column));
   out += "    " + text + (to < line.size() ? "..." : "") + "\n    " + under + std::string(length, '^') + "\n";
-  for (const std::string& note : message.notes) out += "    " + note + "\n";
-  if (!message.fix.empty()) out += "    fix: " + message.fix + "\n";
+  for (const std::string& note : diagnostic.notes) out += "    " + note + "\n";
+  if (!diagnostic.fix.empty()) out += "    fix: " + diagnostic.fix + "\n";
   return out;
 }
 
-std::string shown(const Messages& messages, const Sources& sources) {
+std::string to_text(const Diagnostics& diagnostics, const Sources& sources) {
   std::string out;
-  for (const Message& message : messages.in_order()) out += shown(message, sources);
-  if (messages.count() > Messages::kMost)
-    out += "and " + std::to_string(messages.count() - Messages::kMost) + " more\n";
+  for (const Diagnostic& diagnostic : diagnostics.sorted()) out += to_text(diagnostic, sources);
+  if (diagnostics.count() > Diagnostics::kMost)
+    out += "and " + std::to_string(diagnostics.count() - Diagnostics::kMost) + " more\n";
   return out;
 }
 
-std::string json(const Messages& messages, const Sources& sources) {
+std::string to_json(const Diagnostics& diagnostics, const Sources& sources) {
   nlohmann::json all = nlohmann::json::array();
-  for (const Message& message : messages.in_order()) {
-    nlohmann::json one = {{"file", sources.path(message.place.file)},
-                          {"line", message.place.line},
-                          {"column", message.place.column},
-                          {"length", message.place.length},
-                          {"text", message.text}};
-    if (!message.fix.empty()) one["fix"] = message.fix;
-    if (!message.notes.empty()) one["notes"] = message.notes;
+  for (const Diagnostic& diagnostic : diagnostics.sorted()) {
+    nlohmann::json one = {{"file", sources.path(diagnostic.location.file)},
+                          {"line", diagnostic.location.line},
+                          {"column", diagnostic.location.column},
+                          {"length", diagnostic.location.length},
+                          {"text", diagnostic.text}};
+    if (!diagnostic.fix.empty()) one["fix"] = diagnostic.fix;
+    if (!diagnostic.notes.empty()) one["notes"] = diagnostic.notes;
     all.push_back(std::move(one));
   }
   return all.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/config/language/messages.h
+++ b/src/config/language/diagnostics.h
@@ -10,14 +10,14 @@
 
 namespace puffinvane::language {
 
-struct Place {
+struct SourceLocation {
   int file = 0;
   std::uint32_t line = 1, column = 1;  // both from 1; a column is a character, however many bytes it has
   std::uint32_t length = 1;            // characters
 };
 
-struct Message {
-  Place place;
+struct Diagnostic {
+  SourceLocation location;
   std::string text, fix;           // fix: empty unless it is sure
   std::vector<std::string> notes;  // more lines, as the chain of a circle of includes
 };
@@ -40,23 +40,24 @@
 };
 
 // A file that is wrong throughout says so some hundred times and then counts.
-class Messages {
+class Diagnostics {
  public:
   static constexpr std::size_t kMost = 200;
-  void say(Place place, std::string text, std::string fix = "", std::vector<std::string> notes = {});
-  bool none() const { return count_ == 0; }
+  void add(SourceLocation location, std::string text, std::string fix = "",
+           std::vector<std::string> notes = {});
+  bool empty() const { return count_ == 0; }
   std::size_t count() const { return count_; }
-  std::vector<Message> in_order() const;  // by file, line and column
+  std::vector<Diagnostic> sorted() const;  // by file, line and column
 
  private:
-  std::vector<Message> kept_;
+  std::vector<Diagnostic> kept_;
   std::size_t count_ = 0;
 };
 
-std::string where(const Message& message, const Sources& sources);  // "file:line:column"
-// The message, its line with a caret, the fix: as people read it.
-std::string shown(const Message& message, const Sources& sources);
-std::string shown(const Messages& messages, const Sources& sources);
-std::string json(const Messages& messages, const Sources& sources);  // one array
+std::string where(const Diagnostic& diagnostic, const Sources& sources);  // "file:line:column"
+// The diagnostic, its line with a caret, the fix: as people read it.
+std::string to_text(const Diagnostic& diagnostic, const Sources& sources);
+std::string to_text(const Diagnostics& diagnostics, const Sources& sources);
+std::string to_json(const Diagnostics& diagnostics, const Sources& sources);  // one array
 
 }  // namespace puffinvane::language
--- a/src/config/language/format.cpp
+++ b/src/config/language/format.cpp
@@ -44,7 +44,7 @@
       out_ += '\n';
     }
   }
-  // On one line, or broken after commas where that is too long.
+  // On one line, or is_malformed after commas where that is too long.
   void head(const Item& item, int depth) {
     std::size_t indent = std::size_t(depth) * 2;
     std::size_t width = indent + item.word.size();
--- a/src/config/language/language_fuzz.cpp
+++ b/src/config/language/language_fuzz.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-class Memory final : public Files {
+class Memory final : public FileSource {
  public:
   explicit Memory(std::string text) : text_(std::move(text)) {}
   std::optional<std::string> read(const std::string& path) override {
@@ -26,7 +26,7 @@
     if (path == "/site/self") return "include \"it.site\"\n";
     return {};
   }
-  std::string real(const std::string& path) override {
+  std::string canonical_path(const std::string& path) override {
     return std::filesystem::path(path).lexically_normal().string();
   }
 
@@ -38,26 +38,26 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* bytes, std::size_t size) {
   std::string text(reinterpret_cast<const char*>(bytes), size);
-  Messages messages;
-  Tree tree = parse(0, text, messages);
-  if (messages.none()) {
+  Diagnostics diagnostics;
+  Tree tree = parse(0, text, diagnostics);
+  if (diagnostics.empty()) {
     std::string formatted = format(tree);
-    Messages again;
+    Diagnostics again;
     Tree back = parse(0, formatted, again);
-    assert(again.none() && same_meaning(tree, back));
+    assert(again.empty() && is_equivalent(tree, back));
     assert(format(back) == formatted);
   }
   Memory memory(text);
-  Reading reading = read_site("/site/it.site", memory);
-  std::string said = shown(reading.messages, reading.sources);
-  json(reading.messages, reading.sources);
-  for (const Message& message : reading.messages.in_order())
-    assert(message.place.line >= 1 && message.place.column >= 1 && !message.text.empty());
-  assert(reading.messages.none() == said.empty());
-  if (reading.messages.none()) {
-    assert(site::check(reading.site).empty());
-    assert(site::differences(reading.site, reading.site).empty());
-    auto site = std::make_shared<const site::Site>(std::move(reading.site));
+  ReadResult result = read_site("/site/it.site", memory);
+  std::string said = to_text(result.diagnostics, result.sources);
+  to_json(result.diagnostics, result.sources);
+  for (const Diagnostic& diagnostic : result.diagnostics.sorted())
+    assert(diagnostic.location.line >= 1 && diagnostic.location.column >= 1 && !diagnostic.text.empty());
+  assert(result.diagnostics.empty() == said.empty());
+  if (result.diagnostics.empty()) {
+    assert(site::check(result.site).empty());
+    assert(site::differences(result.site, result.site).empty());
+    auto site = std::make_shared<const site::Site>(std::move(result.site));
     routing::Router(site).decide({"main", "GET", "a.example.org", "/a/b?c", {}}, 0.5);
   }
   return 0;
--- a/src/config/language/language_test.cpp
+++ b/src/config/language/language_test.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-class Memory final : public Files {
+class Memory final : public FileSource {
  public:
   std::optional<std::string> read(const std::string& path) override {
-    auto found = files.find(real(path));
+    auto found = files.find(canonical_path(path));
     return found == files.end() ? std::nullopt : std::optional(found->second);
   }
-  std::string real(const std::string& path) override {
+  std::string canonical_path(const std::string& path) override {
     return std::filesystem::path(path).lexically_normal().string();
   }
   std::map<std::string, std::string> files;
@@ -38,9 +38,9 @@
   memory.files = {{"/s/a.site", "# a\ninclude \"b.site\"\n"},
                   {"/s/b.site", "include \"in/c.site\"\n"},
                   {"/s/in/c.site", "\n\n  include \"../b.site\"\n"}};
-  Reading reading = read_site("/s/a.site", memory);
-  std::vector<Message> said = reading.messages.in_order();
-  assert(said.size() == 1 && where(said[0], reading.sources) == "/s/in/c.site:3:11");
+  ReadResult result = read_site("/s/a.site", memory);
+  std::vector<Diagnostic> said = result.diagnostics.sorted();
+  assert(said.size() == 1 && where(said[0], result.sources) == "/s/in/c.site:3:11");
   assert((said[0].notes == std::vector<std::string>{"b.site includes c.site", "c.site includes b.site"}));
 }
 
@@ -48,8 +48,8 @@
   Memory memory;
   memory.files["/s/a.site"] =
       kBase + "route all { path /; to one }\nlimits {\n\tbody 64KB  # caf\xc3\xa9\n}\n";
-  Reading reading = read_site("/s/a.site", memory);
-  assert(shown(reading.messages, reading.sources) ==
+  ReadResult result = read_site("/s/a.site", memory);
+  assert(to_text(result.diagnostics, result.sources) ==
          "/s/a.site:6:7: `KB` is no unit here: this has to be a size, as 64KiB\n"
          "    \tbody 64KB  # caf\xc3\xa9\n"
          "    \t     ^^^^\n"
@@ -57,16 +57,16 @@
 }
 
 void a_fix_is_offered_only_where_it_is_sure() {
-  auto fix = [](Shape shape, const char* raw, double least, double most) {
-    return read_value(shape, raw, false, least, most).fix;
+  auto fix = [](ValueType type, const char* raw, double least, double most) {
+    return read_value(type, raw, false, least, most).fix;
   };
-  assert(fix(Shape::Time, "750", 1e-3, 60) == "write 750ms");    // 750 s is out of bounds
-  assert(fix(Shape::Time, "5", 1e-3, 60) == "write 5ms or 5s");  // either may be meant
-  assert(fix(Shape::Time, "0.5", 0.1, 60) == "write 0.5s");      // half a millisecond is too little
-  assert(fix(Shape::Size, "64KB", 1, 1e9) == "write 64KiB");
-  assert(fix(Shape::Time, "2m", 1e-3, 3600) == "write 2min");
-  assert(fix(Shape::Time, "2parsecs", 1e-3, 3600).empty());
-  assert(fix(Shape::Share, "64", 0, 1) == "write 64%");
+  assert(fix(ValueType::Time, "750", 1e-3, 60) == "write 750ms");    // 750 s is out of bounds
+  assert(fix(ValueType::Time, "5", 1e-3, 60) == "write 5ms or 5s");  // either may be meant
+  assert(fix(ValueType::Time, "0.5", 0.1, 60) == "write 0.5s");      // half a millisecond is too little
+  assert(fix(ValueType::Size, "64KB", 1, 1e9) == "write 64KiB");
+  assert(fix(ValueType::Time, "2m", 1e-3, 3600) == "write 2min");
+  assert(fix(ValueType::Time, "2parsecs", 1e-3, 3600).empty());
+  assert(fix(ValueType::Share, "64", 0, 1) == "write 64%");
 }
 
 void all_faults_of_a_file_are_told_at_once() {
@@ -74,16 +74,16 @@
   memory.files["/s/a.site"] =
       "prefix a {\n  kind readlike\n  target-latency 5\n}\npool b {\n  endpoint x 1.2.3.4\n}\nroute c {\n  "
       "too b\n}\n}\n";
-  Reading reading = read_site("/s/a.site", memory);
-  assert(reading.messages.count() == 6);  // kind, unit, client-timeout, port, `too`, the brace
+  ReadResult result = read_site("/s/a.site", memory);
+  assert(result.diagnostics.count() == 6);  // kind, unit, client-timeout, port, `too`, the brace
 }
 
 void a_file_with_a_thousand_faults_tells_some_and_counts_the_rest() {
   Memory memory;
   for (int i = 0; i < 1000; ++i) memory.files["/s/a.site"] += "nonsense\n";
-  Reading reading = read_site("/s/a.site", memory);
-  assert(reading.messages.count() == 1000 && reading.messages.in_order().size() == Messages::kMost);
-  assert(shown(reading.messages, reading.sources).ends_with("and 800 more\n"));
+  ReadResult result = read_site("/s/a.site", memory);
+  assert(result.diagnostics.count() == 1000 && result.diagnostics.sorted().size() == Diagnostics::kMost);
+  assert(to_text(result.diagnostics, result.sources).ends_with("and 800 more\n"));
 }
 
 void a_million_lines_are_read_in_seconds() {
@@ -92,9 +92,9 @@
   for (int i = 0; i < 200000; ++i)
     text += "route r" + std::to_string(i) + " {\n  path /r" + std::to_string(i) + "\n  to one\n  # end\n}\n";
   auto began = std::chrono::steady_clock::now();
-  Reading reading = read_site("/s/a.site", memory);
-  assert(reading.messages.none() && reading.site.routes.size() == 200000);
-  Messages none;
+  ReadResult result = read_site("/s/a.site", memory);
+  assert(result.diagnostics.empty() && result.site.routes.size() == 200000);
+  Diagnostics none;
   assert(format(parse(0, text, none)).size() > text.size());
   double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
   std::printf("a million lines: %.2f s\n", took);
@@ -104,10 +104,10 @@
 void a_site_too_large_for_the_memory_is_refused() {
   Memory memory;
   std::string& text = memory.files["/s/a.site"];
-  for (std::size_t i = 0; i < kMostParts + 10; ++i) text += "a\n";
-  Messages messages;
-  Tree tree = parse(0, text, messages);
-  assert(messages.count() == 1 && tree.items.size() <= kMostParts);
+  for (std::size_t i = 0; i < kMaxTreeElements + 10; ++i) text += "a\n";
+  Diagnostics diagnostics;
+  Tree tree = parse(0, text, diagnostics);
+  assert(diagnostics.count() == 1 && tree.items.size() <= kMaxTreeElements);
 }
 
 void nothing_is_read_from_outside_the_folder_by_a_link_either() {
@@ -119,20 +119,20 @@
   FILE* main = std::fopen((folder / "site/a.site").c_str(), "w");
   std::fputs("include \"link.inc\"\n", main), std::fclose(main);
   fs::create_symlink("../outside.inc", folder / "site/link.inc");
-  Disk disk;
-  Reading reading = read_site((folder / "site/a.site").string(), disk);
+  DiskFileSource disk;
+  ReadResult result = read_site((folder / "site/a.site").string(), disk);
   fs::remove_all(folder);
-  assert(reading.messages.count() == 1 &&
-         reading.messages.in_order()[0].text.find("outside the site's folder") != std::string::npos);
+  assert(result.diagnostics.count() == 1 &&
+         result.diagnostics.sorted()[0].text.find("outside the site's folder") != std::string::npos);
 }
 
 void a_quoted_text_means_the_same_after_both_ways() {
   for (const char* text : {"", "a", "a \"b\"", "\\", "\\n", "a\nb\tc", "\xc3\xa9"}) {
     std::string written = quoted(text);
-    Messages none;
+    Diagnostics none;
     Tree tree = parse(0, "x " + written, none);
     (void)tree;
-    assert(none.none() && meaning_of(written) == text);
+    assert(none.empty() && unquote(written) == text);
   }
 }
 
--- a/src/config/language/lexer.cpp
+++ b/src/config/language/lexer.cpp
@@ -37,12 +37,12 @@
 
 }  // namespace
 
-Lexer::Lexer(int file, std::string_view text, Messages& messages)
-    : file_(file), text_(text), messages_(messages) {
+Lexer::Lexer(int file, std::string_view text, Diagnostics& diagnostics)
+    : file_(file), text_(text), diagnostics_(diagnostics) {
   if (text_.starts_with(kMark)) at_ = kMark.size();  // some editors put it first
 }
 
-Place Lexer::here() const { return {file_, line_, column_, 1}; }
+SourceLocation Lexer::here() const { return {file_, line_, column_, 1}; }
 
 void Lexer::pass() {
   if (peek() == '\n') {
@@ -56,32 +56,33 @@
 bool Lexer::pass_doubtful() {
   bool crlf = peek() == '\r' && at_ + 1 < text_.size() && text_[at_ + 1] == '\n';
   if (text_.substr(at_).starts_with(kMark)) {
-    messages_.say(here(), "a byte order mark, which only stands first in a file");
+    diagnostics_.add(here(), "a byte order mark, which only stands first in a file");
     return pass(), true;
   }
-  bool broken = size_of_character(text_.substr(at_)) == 0;
-  if (crlf || (!broken && !control(peek()))) return false;
-  Place place = here();
+  bool is_malformed = size_of_character(text_.substr(at_)) == 0;
+  if (crlf || (!is_malformed && !control(peek()))) return false;
+  SourceLocation location = here();
   char first = peek();
-  place.length = 0;
+  location.length = 0;
   // A run of them is said once.
-  while (!at_end() && (broken ? size_of_character(text_.substr(at_)) == 0 : peek() == first))
-    pass(), ++place.length;
-  messages_.say(place, broken ? "not UTF-8: byte " + hex(first) : "a control character, " + hex(first));
+  while (!at_end() && (is_malformed ? size_of_character(text_.substr(at_)) == 0 : peek() == first))
+    pass(), ++location.length;
+  diagnostics_.add(location,
+                   is_malformed ? "not UTF-8: byte " + hex(first) : "a control character, " + hex(first));
   return true;
 }
 
-Token Lexer::made(Token::Kind kind, std::size_t from, Place place) const {
-  place.length = std::max<std::uint32_t>(1, line_ == place.line ? column_ - place.column : 1);
-  return {kind, place, text_.substr(from, at_ - from), false};
+Token Lexer::made(Token::Kind kind, std::size_t from, SourceLocation location) const {
+  location.length = std::max<std::uint32_t>(1, line_ == location.line ? column_ - location.column : 1);
+  return {kind, location, text_.substr(from, at_ - from), false};
 }
 
 Token Lexer::single(Token::Kind kind) {
-  Place place = here();
+  SourceLocation location = here();
   std::size_t from = at_;
   bool new_line = peek() == '\n';
   pass();
-  return {kind, place, text_.substr(from, 1), new_line};
+  return {kind, location, text_.substr(from, 1), new_line};
 }
 
 Token Lexer::next() {
@@ -107,29 +108,29 @@
 }
 
 Token Lexer::word() {
-  Place place = here();
+  SourceLocation location = here();
   std::size_t from = at_;
   while (!at_end() && !ends_word(peek()) && !control(peek()) && size_of_character(text_.substr(at_)) > 0 &&
          !text_.substr(at_).starts_with(kMark))
     pass();
-  return made(Token::Kind::Word, from, place);
+  return made(Token::Kind::Word, from, location);
 }
 
 Token Lexer::comment() {
-  Place place = here();
+  SourceLocation location = here();
   std::size_t from = at_;
   while (!at_end() && peek() != '\n') {
     if (!pass_doubtful() && peek() != '\n') pass();
     if (!at_end() && peek() == '\r' && at_ + 1 < text_.size() && text_[at_ + 1] == '\n') break;
   }
-  Token token = made(Token::Kind::Comment, from, place);
+  Token token = made(Token::Kind::Comment, from, location);
   while (!token.raw.empty() && (blank(token.raw.back()) || token.raw.back() == '\r'))
     token.raw.remove_suffix(1);
   return token;
 }
 
 Token Lexer::quoted() {
-  Place place = here();
+  SourceLocation location = here();
   std::size_t from = at_;
   pass();
   while (!at_end() && peek() != '\n' && peek() != '"') {
@@ -139,24 +140,25 @@
       pass();
       continue;
     }
-    Place escape = here();
+    SourceLocation escape = here();
     pass();
     if (at_end() || peek() == '\n') break;
     if (std::string_view("\"\\nt").find(peek()) == std::string_view::npos) {
       escape.length = 2;
-      messages_.say(escape, "no such escape: there are \\\" \\\\ \\n and \\t", "write \\\\ for a backslash");
+      diagnostics_.add(escape, "no such escape: there are \\\" \\\\ \\n and \\t",
+                       "write \\\\ for a backslash");
     }
     pass();
   }
   if (at_end() || peek() != '"') {
-    messages_.say(place, "a text without its closing quote");
-    return made(Token::Kind::Quoted, from, place);
+    diagnostics_.add(location, "a text without its closing quote");
+    return made(Token::Kind::Quoted, from, location);
   }
   pass();
-  return made(Token::Kind::Quoted, from, place);
+  return made(Token::Kind::Quoted, from, location);
 }
 
-std::string meaning_of(std::string_view raw) {
+std::string unquote(std::string_view raw) {
   if (!raw.starts_with('"')) return std::string(raw);
   std::string text;
   raw.remove_prefix(1);
--- a/src/config/language/lexer.h
+++ b/src/config/language/lexer.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "src/config/language/messages.h"
+#include "src/config/language/diagnostics.h"
 
 namespace puffinvane::language {
 
@@ -12,14 +12,14 @@
   // End: of an item, by a new line or `;`. Finish: of the file.
   enum class Kind { Word, Quoted, Open, Close, Comma, End, Comment, Finish };
   Kind kind = Kind::Finish;
-  Place place;
+  SourceLocation location;
   std::string_view raw;   // as written, quotes and all
   bool new_line = false;  // of End: by a new line
 };
 
 class Lexer {
  public:
-  Lexer(int file, std::string_view text, Messages& messages);
+  Lexer(int file, std::string_view text, Diagnostics& diagnostics);
   Token next();
 
  private:
@@ -27,22 +27,22 @@
   Token quoted();
   Token comment();
   Token single(Token::Kind kind);
-  Token made(Token::Kind kind, std::size_t from, Place place) const;
+  Token made(Token::Kind kind, std::size_t from, SourceLocation location) const;
   bool at_end() const { return at_ >= text_.size(); }
   char peek() const { return text_[at_]; }
   void pass();           // one character
   bool pass_doubtful();  // what is no character at all; says so
-  Place here() const;
+  SourceLocation here() const;
 
   int file_;
   std::string_view text_;
-  Messages& messages_;
+  Diagnostics& diagnostics_;
   std::size_t at_ = 0;
   std::uint32_t line_ = 1, column_ = 1;
 };
 
 // What a quoted text stands for; without quotes the word itself.
-std::string meaning_of(std::string_view raw);
+std::string unquote(std::string_view raw);
 std::string quoted(std::string_view text);  // and back
 
 }  // namespace puffinvane::language
--- a/src/config/language/parser.cpp
+++ b/src/config/language/parser.cpp
@@ -14,8 +14,8 @@
 
 class Parser {
  public:
-  Parser(int file, std::string_view text, Messages& messages, std::size_t& room)
-      : lexer_(file, text, messages), messages_(messages), room_(room), token_(lexer_.next()) {}
+  Parser(int file, std::string_view text, Diagnostics& diagnostics, std::size_t& room)
+      : lexer_(file, text, diagnostics), diagnostics_(diagnostics), room_(room), token_(lexer_.next()) {}
 
   Tree parse() {
     Tree tree;
@@ -28,9 +28,9 @@
     token_ = lexer_.next();
     if (!(is(Kind::Word) || is(Kind::Quoted) || is(Kind::Comment))) return;
     if (room_ > 0 && --room_ == 0)
-      messages_.say(token_.place, "the site is too large: nothing is read from here on");
+      diagnostics_.add(token_.location, "the site is too large: nothing is read from here on");
     hopeless_ = hopeless_ || room_ == 0;
-    if (room_ == 0) token_ = {Kind::Finish, token_.place, {}, false};
+    if (room_ == 0) token_ = {Kind::Finish, token_.location, {}, false};
   }
   bool is(Kind kind) const { return token_.kind == kind; }
 
@@ -50,7 +50,7 @@
           advance();
           break;
         case Kind::Finish:
-          if (open && !hopeless_) messages_.say(open->place, "this `{` is never closed");
+          if (open && !hopeless_) diagnostics_.add(open->location, "this `{` is never closed");
           last = std::move(comments);
           return;
         case Kind::Close:
@@ -59,7 +59,7 @@
             advance();
             return;
           }
-          messages_.say(token_.place, "a `}` too many");
+          diagnostics_.add(token_.location, "a `}` too many");
           advance();
           break;
         case Kind::Word: {
@@ -82,11 +82,12 @@
     if (is(Kind::Open)) {
       std::string fix =
           into.empty() ? "" : "put the `{` on the line of `" + std::string(into.back().word) + "`";
-      if (!into.empty()) into.back().broken = true;
-      messages_.say(token_.place, "a block that belongs to no word", fix);
+      if (!into.empty()) into.back().is_malformed = true;
+      diagnostics_.add(token_.location, "a block that belongs to no word", fix);
     } else {
-      messages_.say(token_.place, is(Kind::Comma) ? "a comma with nothing before it"
-                                                  : "a text where a word has to stand, as `pool` or `route`");
+      diagnostics_.add(token_.location, is(Kind::Comma)
+                                            ? "a comma with nothing before it"
+                                            : "a text where a word has to stand, as `pool` or `route`");
     }
     pass_line();
   }
@@ -96,23 +97,24 @@
   }
 
   void read(Item& item, int depth) {
-    std::size_t said = messages_.count();
-    item.word = token_.raw, item.place = token_.place;
+    std::size_t said = diagnostics_.count();
+    item.word = token_.raw, item.location = token_.location;
     advance();
     std::optional<Token> comma;
     while (true) {
       if (is(Kind::Word) || is(Kind::Quoted)) {
         if (token_.raw == "=" || token_.raw == ":") {
-          messages_.say(token_.place, "no `" + std::string(token_.raw) + "` is needed here",
-                        "write `" + std::string(item.word) + "` and its value, with a blank between");
+          diagnostics_.add(token_.location, "no `" + std::string(token_.raw) + "` is needed here",
+                           "write `" + std::string(item.word) + "` and its value, with a blank between");
           advance();
           continue;
         }
-        item.arguments.push_back({token_.raw, token_.place, is(Kind::Quoted), comma.has_value()});
+        item.arguments.push_back({token_.raw, token_.location, is(Kind::Quoted), comma.has_value()});
         comma.reset();
         advance();
       } else if (is(Kind::Comma)) {
-        if (comma || item.arguments.empty()) messages_.say(token_.place, "a comma with nothing before it");
+        if (comma || item.arguments.empty())
+          diagnostics_.add(token_.location, "a comma with nothing before it");
         comma = token_;
         advance();
         // A list goes on after its comma, whatever lines and comments lie between.
@@ -124,21 +126,21 @@
         break;
       }
     }
-    if (comma) messages_.say(comma->place, "nothing comes after this comma");
+    if (comma) diagnostics_.add(comma->location, "nothing comes after this comma");
     if (is(Kind::Open)) block(item, depth);
     if (is(Kind::Comment)) item.after = token_.raw, advance();
     if (is(Kind::Word) || is(Kind::Quoted) || is(Kind::Open) || is(Kind::Comma)) {
-      messages_.say(token_.place, "a new line or `;` has to come before this");
+      diagnostics_.add(token_.location, "a new line or `;` has to come before this");
       if (!is(Kind::Word)) pass_line();
     }
-    item.broken = messages_.count() != said || (depth > 0 && is(Kind::Finish));
+    item.is_malformed = diagnostics_.count() != said || (depth > 0 && is(Kind::Finish));
   }
 
   void block(Item& item, int depth) {
     Token open = token_;
     item.has_block = true;
     if (depth + 1 > kDeepest) {
-      messages_.say(open.place, "blocks within blocks, deeper than " + std::to_string(kDeepest));
+      diagnostics_.add(open.location, "blocks within blocks, deeper than " + std::to_string(kDeepest));
       hopeless_ = true;
       return skip();
     }
@@ -157,7 +159,7 @@
 
   bool hopeless_ = false;  // the rest was not read: nothing is said of where it ends
   Lexer lexer_;
-  Messages& messages_;
+  Diagnostics& diagnostics_;
   std::size_t& room_;
   Token token_;
 };
@@ -177,14 +179,14 @@
 
 }  // namespace
 
-Tree parse(int file, std::string_view text, Messages& messages, std::size_t& room) {
-  return Parser(file, text, messages, room).parse();
+Tree parse(int file, std::string_view text, Diagnostics& diagnostics, std::size_t& room) {
+  return Parser(file, text, diagnostics, room).parse();
 }
-Tree parse(int file, std::string_view text, Messages& messages) {
-  std::size_t room = kMostParts;
-  return parse(file, text, messages, room);
+Tree parse(int file, std::string_view text, Diagnostics& diagnostics) {
+  std::size_t room = kMaxTreeElements;
+  return parse(file, text, diagnostics, room);
 }
 
-bool same_meaning(const Tree& one, const Tree& other) { return same(one.items, other.items); }
+bool is_equivalent(const Tree& one, const Tree& other) { return same(one.items, other.items); }
 
 }  // namespace puffinvane::language
--- a/src/config/language/quantity.cpp
+++ b/src/config/language/quantity.cpp
@@ -31,11 +31,11 @@
   std::span<const Unit> units;
 };
 
-Measure measure_of(Shape shape) {
-  switch (shape) {
-    case Shape::Share: return {"a share", "64%", kShares};
-    case Shape::Rate: return {"a rate", "170/s", kRates};
-    case Shape::Size: return {"a size", "64KiB", kSizes};
+Measure measure_of(ValueType type) {
+  switch (type) {
+    case ValueType::Share: return {"a share", "64%", kShares};
+    case ValueType::Rate: return {"a rate", "170/s", kRates};
+    case ValueType::Size: return {"a size", "64KiB", kSizes};
     default: return {"a time", "750ms", kTimes};
   }
 }
@@ -59,7 +59,7 @@
 
 Value wrong(std::string text, std::string fix = "") {
   Value value;
-  value.wrong = std::move(text), value.fix = std::move(fix);
+  value.error = std::move(text), value.fix = std::move(fix);
   return value;
 }
 
@@ -81,8 +81,8 @@
   return fix;
 }
 
-Value quantity(Shape shape, std::string_view raw, double least, double most) {
-  Measure measure = measure_of(shape);
+Value quantity(ValueType type, std::string_view raw, double least, double most) {
+  Measure measure = measure_of(type);
   std::size_t digits = 0;
   while (digits < raw.size() && ((raw[digits] >= '0' && raw[digits] <= '9') || raw[digits] == '.')) ++digits;
   std::string_view number = raw.substr(0, digits), unit = raw.substr(digits);
@@ -114,7 +114,7 @@
   }
   std::string meant;
   for (const Unit& one : measure.units) {
-    std::string name = lower(one.name), said = lower(unit);
+    std::string name = to_lower(one.name), said = to_lower(unit);
     // KB for KiB, kb, sec, S.
     if (name == said || (name.size() == 3 && said == std::string{name[0], name[2]}) ||
         (name == "s" && (said == "sec" || said == "secs" || said == "second" || said == "seconds")) ||
@@ -125,13 +125,13 @@
   return wrong("`" + std::string(unit.substr(0, 20)) + "` is no unit here: this has to be " + an, meant);
 }
 
-Value figure(Shape shape, std::string_view raw, double least, double most) {
+Value figure(ValueType type, std::string_view raw, double least, double most) {
   Value value;
   auto [end, error] =
       std::from_chars(raw.data(), raw.data() + raw.size(), value.number, std::chars_format::fixed);
-  bool whole = shape != Shape::Count || value.number == std::floor(value.number);
+  bool whole = type != ValueType::Count || value.number == std::floor(value.number);
   if (error != std::errc() || end != raw.data() + raw.size() || !std::isfinite(value.number) || !whole)
-    return wrong(ticked(raw) + (shape == Shape::Count ? " is no whole number" : " is no number") +
+    return wrong(ticked(raw) + (type == ValueType::Count ? " is no whole number" : " is no number") +
                  (value.number > 0 && whole && end != raw.data() ? ": nothing may come behind it" : ""));
   if (value.number < least) return wrong(ticked(raw) + " is too little: " + plain(least) + " at least");
   if (value.number > most) return wrong(ticked(raw) + " is too much: " + plain(most) + " at most");
@@ -148,9 +148,9 @@
   std::string all;
   for (std::size_t i = 0; i < words.size(); ++i)
     all += (i == 0 ? "" : i + 1 == words.size() ? " or " : ", ") + words[i];
-  std::string meant = site::nearest(lower(raw), words);
+  std::string meant = site::closest_name(to_lower(raw), words);
   for (const std::string& word : words) {
-    if (lower(raw) == word) meant = word;
+    if (to_lower(raw) == word) meant = word;
   }
   return wrong(ticked(raw) + " is no " + what + ": " + all,
                meant.empty() ? "" : "did you mean `" + meant + "`?");
@@ -181,7 +181,7 @@
 
 }  // namespace
 
-std::string lower(std::string_view text) {
+std::string to_lower(std::string_view text) {
   std::string out(text);
   for (char& c : out) c = c >= 'A' && c <= 'Z' ? char(c + 32) : c;
   return out;
@@ -202,15 +202,15 @@
   });
 }
 
-std::string wrong_with_path(std::string_view path) {
+std::string path_error(std::string_view path) {
   if (!path.starts_with('/')) return "a path begins with `/`";
   for (char c : path) {
     if (static_cast<unsigned char>(c) <= 0x20 || static_cast<unsigned char>(c) >= 0x7f)
       return "a path has no blanks and no letters but ASCII: others are written as %C3%A9";
   }
   if (path.find_first_of("?#") != std::string_view::npos) return "a path ends before its `?` or `#`";
-  if (std::size_t(std::count(path.begin(), path.end(), '/')) > site::kMostParts)
-    return "a path has " + std::to_string(site::kMostParts) + " parts at most";
+  if (std::size_t(std::count(path.begin(), path.end(), '/')) > site::kMaxPathSegments)
+    return "a path has " + std::to_string(site::kMaxPathSegments) + " parts at most";
   for (std::size_t from = 1; from <= path.size();) {
     std::size_t to = std::min(path.find('/', from), path.size());
     std::string_view part = path.substr(from, to - from);
@@ -220,7 +220,7 @@
   return "";
 }
 
-std::string wrong_with_host(std::string_view host) {
+std::string host_error(std::string_view host) {
   if (host.starts_with("*.")) host.remove_prefix(2);
   if (host.find('*') != std::string_view::npos)
     return "a `*` only stands for the first part, as in *.example.org";
@@ -234,30 +234,30 @@
   return plain ? "" : "this is no host, as www.example.org";
 }
 
-Value read_value(Shape shape, std::string_view raw, bool quoted, double least, double most) {
+Value read_value(ValueType type, std::string_view raw, bool quoted, double least, double most) {
   Value value;
-  if (quoted && shape != Shape::Text && shape != Shape::Name)
-    return wrong(ticked(raw) + " is a text: this is written without quotes", "write " + meaning_of(raw));
-  switch (shape) {
-    case Shape::TimeOrOff:
+  if (quoted && type != ValueType::Text && type != ValueType::Name)
+    return wrong(ticked(raw) + " is a text: this is written without quotes", "write " + unquote(raw));
+  switch (type) {
+    case ValueType::TimeOrOff:
       if (raw == "off") return value;
       [[fallthrough]];
-    case Shape::Time:
-    case Shape::Share:
-    case Shape::Rate:
-    case Shape::Size: return quantity(shape, raw, least, most);
-    case Shape::Count:
-    case Shape::Number: return figure(shape, raw, least, most);
-    case Shape::Switch: return choice(raw, "switch", {"off", "on"});
-    case Shape::Kind: return choice(raw, "kind", {"read-like", "tagged", "mutating"});
-    case Shape::Group: return choice(raw, "group", {"all", "zone", "cell"});
-    case Shape::Address: return address(raw);
-    case Shape::Name:
-      value.text = meaning_of(raw);
+    case ValueType::Time:
+    case ValueType::Share:
+    case ValueType::Rate:
+    case ValueType::Size: return quantity(type, raw, least, most);
+    case ValueType::Count:
+    case ValueType::Number: return figure(type, raw, least, most);
+    case ValueType::Switch: return choice(raw, "switch", {"off", "on"});
+    case ValueType::Kind: return choice(raw, "kind", {"read-like", "tagged", "mutating"});
+    case ValueType::Group: return choice(raw, "group", {"all", "zone", "cell"});
+    case ValueType::Address: return address(raw);
+    case ValueType::Name:
+      value.text = unquote(raw);
       if (!is_name(value.text))
         return wrong(ticked(raw) + " is no name: letters, digits, `-`, `.` and `_`, 64 at most");
       return value;
-    case Shape::Text: value.text = meaning_of(raw); return value;
+    case ValueType::Text: value.text = unquote(raw); return value;
   }
   return value;
 }
--- a/src/config/language/quantity.h
+++ b/src/config/language/quantity.h
@@ -6,7 +6,7 @@
 
 namespace puffinvane::language {
 
-enum class Shape {
+enum class ValueType {
   Time,
   TimeOrOff,
   Share,
@@ -25,16 +25,16 @@
 struct Value {
   double number = 0;  // seconds, a second, bytes, 0 to 1
   std::string text;
-  std::string wrong, fix;  // wrong: empty if it can be used
+  std::string error, fix;  // wrong: empty if it can be used
 };
 
 // least and most: in the unit that the number has.
-Value read_value(Shape shape, std::string_view raw, bool quoted, double least, double most);
+Value read_value(ValueType type, std::string_view raw, bool quoted, double least, double most);
 
 bool is_name(std::string_view word);
-bool is_token(std::string_view word);                // of HTTP: methods and names of headers
-std::string wrong_with_path(std::string_view path);  // empty: nothing
-std::string wrong_with_host(std::string_view host);
-std::string lower(std::string_view text);
+bool is_token(std::string_view word);           // of HTTP: methods and names of headers
+std::string path_error(std::string_view path);  // empty: nothing
+std::string host_error(std::string_view host);
+std::string to_lower(std::string_view text);
 
 }  // namespace puffinvane::language
--- a/src/config/language/read.h
+++ b/src/config/language/read.h
@@ -4,33 +4,34 @@
 #include <optional>
 #include <string>
 
-#include "src/config/language/messages.h"
+#include "src/config/language/diagnostics.h"
 #include "src/config/site/site.h"
 
 namespace puffinvane::language {
 
 // Where files come from: the disk, or a test's memory.
-class Files {
+class FileSource {
  public:
-  virtual ~Files() = default;
+  virtual ~FileSource() = default;
   virtual std::optional<std::string> read(const std::string& path) = 0;
-  virtual std::string real(const std::string& path) = 0;  // without links and dots, to tell where it lies
+  virtual std::string canonical_path(
+      const std::string& path) = 0;  // without links and dots, to tell where it lies
 };
 
-class Disk final : public Files {
+class DiskFileSource final : public FileSource {
  public:
   static constexpr std::size_t kMost = std::size_t{64} << 20;  // bytes of one file; a longer one isn't read
   std::optional<std::string> read(const std::string& path) override;
-  std::string real(const std::string& path) override;
+  std::string canonical_path(const std::string& path) override;
 };
 
-struct Reading {
+struct ReadResult {
   Sources sources;
-  Messages messages;
-  site::Site site;    // worth something only where there are no messages
+  Diagnostics diagnostics;
+  site::Site site;    // worth something only where there are no diagnostics
   bool found = true;  // the file itself
 };
 
-Reading read_site(const std::string& path, Files& files);
+ReadResult read_site(const std::string& path, FileSource& files);
 
 }  // namespace puffinvane::language
--- a/src/config/language/tree.h
+++ b/src/config/language/tree.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "src/config/language/messages.h"
+#include "src/config/language/diagnostics.h"
 
 namespace puffinvane::language {
 
@@ -16,14 +16,14 @@
 
 struct Argument {
   std::string_view raw;
-  Place place;
+  SourceLocation location;
   bool quoted = false, after_comma = false;
 };
 
 // `word argument argument, argument { items }`
 struct Item {
   std::string_view word;
-  Place place;
+  SourceLocation location;
   std::vector<Argument> arguments;
   bool has_block = false;
   std::vector<Item> block;
@@ -32,7 +32,7 @@
   std::string_view after = {};       // behind all of it
   std::vector<Comment> at_close;     // above its `}`
   bool blank_before = false;
-  bool broken = false;  // the parser has said something of it: what it lacks may only be lost
+  bool is_malformed = false;  // the parser has said something of it: what it lacks may only be lost
 };
 
 struct Tree {
@@ -41,13 +41,13 @@
 };
 
 // Words and arguments that all files of a site may have together: a tree takes some hundred bytes for each.
-constexpr std::size_t kMostParts = 8'000'000;
+constexpr std::size_t kMaxTreeElements = 8'000'000;
 // Goes on after an error and says all that it finds. The tree points into the text. room: what is left of
-// kMostParts.
-Tree parse(int file, std::string_view text, Messages& messages, std::size_t& room);
-Tree parse(int file, std::string_view text, Messages& messages);
+// kMaxTreeElements.
+Tree parse(int file, std::string_view text, Diagnostics& diagnostics, std::size_t& room);
+Tree parse(int file, std::string_view text, Diagnostics& diagnostics);
 // In the one layout that there is. Doing it twice changes nothing.
 std::string format(const Tree& tree);
-bool same_meaning(const Tree& one, const Tree& other);  // words, arguments and blocks; no comments
+bool is_equivalent(const Tree& one, const Tree& other);  // words, arguments and blocks; no comments
 
 }  // namespace puffinvane::language
--- a/src/config/site/check.cpp
+++ b/src/config/site/check.cpp
@@ -49,8 +49,8 @@
   }
 
  private:
-  void say(std::string subject, std::string text, std::string fix = "", bool of_whole = false) {
-    findings_.push_back({std::move(subject), std::move(text), std::move(fix), of_whole});
+  void say(std::string subject, std::string text, std::string fix = "", bool is_omission = false) {
+    findings_.push_back({std::move(subject), std::move(text), std::move(fix), is_omission});
   }
   template <typename T>
   void no_doubles(const std::string& what, const std::vector<T>& all) {
@@ -64,7 +64,7 @@
   bool known(const std::string& subject, const std::string& what, const std::string& name,
              const std::set<std::string>& names) {
     if (names.contains(name)) return true;
-    std::string meant = ++guesses_ > kMostGuesses ? "" : nearest(name, {names.begin(), names.end()});
+    std::string meant = ++guesses_ > kMostGuesses ? "" : closest_name(name, {names.begin(), names.end()});
     say(subject, "no " + what + " " + shown(name), meant.empty() ? "" : "did you mean " + shown(meant) + "?");
     return false;
   }
--- a/src/config/site/facts.cpp
+++ b/src/config/site/facts.cpp
@@ -51,9 +51,9 @@
   return all;
 }
 
-class Facts {
+class Flattener {
  public:
-  explicit Facts(const Site& site) : site_(site) {
+  explicit Flattener(const Site& site) : site_(site) {
     add("site", site.name);
     add("limits/descriptors", std::to_string(site.limits.descriptors));
     add("limits/memory", size(site.limits.memory));
@@ -66,11 +66,11 @@
     for (const Tenant& one : site.tenants) tenant(one);
     for (const Route& one : site.routes) route(one);
     order();
-    std::sort(all_.begin(), all_.end(), [](const Fact& a, const Fact& b) {
+    std::sort(all_.begin(), all_.end(), [](const Property& a, const Property& b) {
       return a.subject != b.subject ? a.subject < b.subject : a.value < b.value;
     });
   }
-  std::vector<Fact> take() { return std::move(all_); }
+  std::vector<Property> take() { return std::move(all_); }
 
  private:
   void add(std::string subject, std::string value) { all_.push_back({std::move(subject), std::move(value)}); }
@@ -161,20 +161,20 @@
   }
 
   const Site& site_;
-  std::vector<Fact> all_;
+  std::vector<Property> all_;
 };
 
 }  // namespace
 
-std::vector<Fact> facts(const Site& site) { return Facts(site).take(); }
+std::vector<Property> properties(const Site& site) { return Flattener(site).take(); }
 
 std::string version(const Site& site) {
   XXH3_state_t* state = XXH3_createState();
   XXH3_64bits_reset(state);
-  for (const Fact& fact : facts(site)) {
+  for (const Property& property : properties(site)) {
     // With their ends, so that no two facts run into one another.
-    XXH3_64bits_update(state, fact.subject.c_str(), fact.subject.size() + 1);
-    XXH3_64bits_update(state, fact.value.c_str(), fact.value.size() + 1);
+    XXH3_64bits_update(state, property.subject.c_str(), property.subject.size() + 1);
+    XXH3_64bits_update(state, property.value.c_str(), property.value.size() + 1);
   }
   std::uint64_t hash = XXH3_64bits_digest(state);
   XXH3_freeState(state);
@@ -185,10 +185,12 @@
 }
 
 std::vector<Difference> differences(const Site& before, const Site& after) {
-  // Facts of one subject (a route's headers) stand side by side: what both have is taken out first.
+  // Flattener of one subject (a route's headers) stand side by side: what both have is taken out first.
   std::map<std::string, std::pair<std::vector<std::string>, std::vector<std::string>>> by_subject;
-  for (Fact& fact : facts(before)) by_subject[fact.subject].first.push_back(std::move(fact.value));
-  for (Fact& fact : facts(after)) by_subject[fact.subject].second.push_back(std::move(fact.value));
+  for (Property& property : properties(before))
+    by_subject[property.subject].first.push_back(std::move(property.value));
+  for (Property& property : properties(after))
+    by_subject[property.subject].second.push_back(std::move(property.value));
   std::vector<Difference> all;
   for (auto& [subject, values] : by_subject) {
     auto& [was, is] = values;
@@ -199,7 +201,7 @@
     }
     for (std::size_t i = 0; i < std::max(was.size(), is.size()); ++i) {
       if (i >= was.size()) all.push_back({Difference::Kind::Added, subject, "", is[i]});
-      else if (i >= is.size()) all.push_back({Difference::Kind::Gone, subject, was[i], ""});
+      else if (i >= is.size()) all.push_back({Difference::Kind::Removed, subject, was[i], ""});
       else all.push_back({Difference::Kind::Changed, subject, was[i], is[i]});
     }
   }
--- a/src/config/site/site.cpp
+++ b/src/config/site/site.cpp
@@ -63,7 +63,7 @@
 
 std::string identity_of(const Endpoint& endpoint) { return endpoint.name + "@" + endpoint.address; }
 
-std::string nearest(const std::string& written, const std::vector<std::string>& known) {
+std::string closest_name(const std::string& written, const std::vector<std::string>& known) {
   constexpr std::size_t kLongest = 64;  // of a name worth comparing: the cost is the product of both lengths
   std::string best;
   std::size_t least = std::max<std::size_t>(1, std::min<std::size_t>(2, written.size() / 3)) + 1;
--- a/src/config/site/site.h
+++ b/src/config/site/site.h
@@ -55,7 +55,7 @@
   std::string text, location;
 };
 
-constexpr std::size_t kMostParts = 64;  // of a route's path, between its slashes
+constexpr std::size_t kMaxPathSegments = 64;  // of a route's path, between its slashes
 
 struct Route {
   enum class Path { Any, Exact, Prefix };
@@ -92,21 +92,21 @@
 // One thing that is wrong, and of what: "pool status", "pool status/endpoint one/address", "route a/to x".
 struct Finding {
   std::string subject, text, fix;  // fix: empty unless it is sure
-  bool of_whole = false;  // that nothing else does something, as use it: worth little beside other faults
+  bool is_omission = false;  // that nothing else does something, as use it: worth little beside other faults
 };
 std::vector<Finding> check(const Site& site);
 
 // Everything that a site says, by subject, in one order: two sites that mean the same have the same facts,
 // however they were written down. What has no order has none here either.
-struct Fact {
+struct Property {
   std::string subject, value;
-  friend bool operator==(const Fact&, const Fact&) = default;
+  friend bool operator==(const Property&, const Property&) = default;
 };
-std::vector<Fact> facts(const Site& site);
+std::vector<Property> properties(const Site& site);
 std::string version(const Site& site);  // sixteen hexadecimal digits, of the facts
 
 struct Difference {
-  enum class Kind { Added, Gone, Changed };
+  enum class Kind { Added, Removed, Changed };
   Kind kind = Kind::Changed;
   std::string subject, before, after;
 };
@@ -119,6 +119,6 @@
 std::string identity_of(const Endpoint& endpoint);
 
 // The name among these that was most likely meant, or empty.
-std::string nearest(const std::string& written, const std::vector<std::string>& known);
+std::string closest_name(const std::string& written, const std::vector<std::string>& known);
 
 }  // namespace puffinvane::site
--- a/src/config/site/site_test.cpp
+++ b/src/config/site/site_test.cpp
@@ -132,10 +132,10 @@
 
 void the_nearest_name_is_near() {
   const std::vector<std::string> names{"status", "consent", "upload"};
-  assert(nearest("consnet", names) == "consent" && nearest("statsu", names) == "status");
-  assert(nearest("payment", names).empty() && nearest("consent", {"consent"}).empty());
-  assert(nearest("a", {"b"}) == "b");  // one letter off is the least there is
-  assert(nearest(std::string(1 << 20, 'a'), names).empty());
+  assert(closest_name("consnet", names) == "consent" && closest_name("statsu", names) == "status");
+  assert(closest_name("payment", names).empty() && closest_name("consent", {"consent"}).empty());
+  assert(closest_name("a", {"b"}) == "b");  // one letter off is the least there is
+  assert(closest_name(std::string(1 << 20, 'a'), names).empty());
 }
 
 }  // namespace
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -10,39 +10,40 @@
 constexpr const char* kBeliefs[] = {"alive", "suspect", "dead", "departed"};
 constexpr const char* kPhases[] = {"joining", "serving", "leaving"};
 
-Member member_of(const Place& place, double unix_now) {
+Member member_of(const FleetConfig& config, double unix_now) {
   Member me;
-  me.name = place.name;
-  me.address = place.advertise.empty() ? place.listen : place.advertise;
-  me.version.life = std::uint64_t(std::max(1.0, unix_now * 1e6));  // others' memory mends a clock set back
-  if (!place.admin.empty() && place.admin.size() <= kMostFact) me.facts["console"] = place.admin;
-  me.zone = place.zone, me.build = place.build, me.tier = place.tier;
+  me.name = config.name;
+  me.address = config.advertise.empty() ? config.listen : config.advertise;
+  me.version.generation =
+      std::uint64_t(std::max(1.0, unix_now * 1e6));  // others' memory mends a clock set back
+  if (!config.admin.empty() && config.admin.size() <= kMaxFactBytes) me.facts["console"] = config.admin;
+  me.zone = config.zone, me.build = config.build, me.tier = config.tier;
   return me;
 }
 }  // namespace
 
-Fleet::Fleet(Loop& loop, const Place& place, double offset, std::uint64_t seed, Owner& owner)
+Fleet::Fleet(Loop& loop, const FleetConfig& config, double offset, std::uint64_t seed, Owner& owner)
     : loop_(loop),
       owner_(owner),
-      listen_(place.listen),
-      transport_(loop, *this, place.key),
-      membership_(member_of(place, loop.now() + offset), place.seeds, Pace(), seed, *this) {}
+      listen_(config.listen),
+      transport_(loop, *this, config.key),
+      membership_(member_of(config, loop.now() + offset), config.seeds, DetectorTiming(), seed, *this) {}
 
 void Fleet::open() {
   transport_.open(listen_);
   membership_.start(loop_.now());
 }
 
-void Fleet::open_in_turn() {
+void Fleet::open_with_retry() {
   if (closed_) return;
   try {
     open();
   } catch (const std::exception&) {
-    loop_.at(loop_.now() + kInTurn, alive_.guard([this] { open_in_turn(); }));
+    loop_.at(loop_.now() + kInTurn, alive_.guard([this] { open_with_retry(); }));
   }
 }
 
-void Fleet::let_go() {
+void Fleet::close_without_departing() {
   closed_ = true;
   transport_.close();
 }
@@ -50,7 +51,7 @@
 void Fleet::close() {
   if (closed_) return;
   membership_.depart(loop_.now());
-  let_go();
+  close_without_departing();
 }
 
 void Fleet::wake(double at) {
@@ -65,7 +66,7 @@
                       << kBeliefs[std::size_t(state)] << ", " << kPhases[std::size_t(member.phase)];
   // A whole state changes many at once: they are told of once.
   if (std::exchange(notifying_, true)) return;
-  loop_.post(alive_.guard([this] { notifying_ = false, owner_.on_members(); }));
+  loop_.post(alive_.guard([this] { notifying_ = false, owner_.on_members_changed(); }));
 }
 
 void Fleet::superseded(bool yes, const std::string& by) {
@@ -79,34 +80,34 @@
   membership_.receive(loop_.now(), message, source);
 }
 
-std::optional<Fleet::Part> Fleet::part(const std::vector<Sharer>& endpoints) const {
+std::optional<Fleet::Share> Fleet::own_share(const std::vector<Participant>& endpoints) const {
   const Member& me = membership_.me();
   if (membership_.is_superseded() || (membership_.live() == 1 && !met_)) return std::nullopt;
   // Of one tier, and taking requests: by name, as all of them see it.
-  std::vector<Sharer> sidecars{{me.name, 1}};
+  std::vector<Participant> sidecars{{me.name, 1}};
   for (const auto& [name, entry] : membership_.others()) {
     if (membership_.live(entry) && entry.member.tier == me.tier && entry.member.phase == Phase::Serving)
       sidecars.push_back({name, 1});
   }
-  auto by_name = [](const Sharer& one, const Sharer& other) { return one.name < other.name; };
+  auto by_name = [](const Participant& one, const Participant& other) { return one.name < other.name; };
   std::sort(sidecars.begin(), sidecars.end(), by_name);
-  auto mine = std::lower_bound(sidecars.begin(), sidecars.end(), Sharer{me.name, 1}, by_name);
-  Part part{{}, int(mine - sidecars.begin()), int(sidecars.size())};
-  for (const Pair& pair : cut(sidecars, endpoints).pairs) {
-    if (pair.sidecar == part.place)
-      part.endpoints.emplace(endpoints[std::size_t(pair.endpoint)].name, pair.load * part.sidecars);
+  auto mine = std::lower_bound(sidecars.begin(), sidecars.end(), Participant{me.name, 1}, by_name);
+  Share share{{}, int(mine - sidecars.begin()), int(sidecars.size())};
+  for (const Pair& pair : assign_endpoints(sidecars, endpoints).pairs) {
+    if (pair.sidecar == share.instance_index)
+      share.own_weights.emplace(endpoints[std::size_t(pair.endpoint)].name, pair.load * share.instance_count);
   }
-  return part;
+  return share;
 }
 
-std::string Fleet::shown(const std::optional<Part>& part) const {
+std::string Fleet::to_json(const std::optional<Share>& share) const {
   using nlohmann::json;
   auto row = [](const Member& member, const char* state, double age) {
     return json{{"name", member.name},
                 {"address", member.address},
                 {"belief", state},
                 {"phase", kPhases[std::size_t(member.phase)]},
-                {"life", member.version.life},
+                {"life", member.version.generation},
                 {"incarnation", member.version.incarnation},
                 {"zone", member.zone},
                 {"tier", member.tier},
@@ -122,12 +123,14 @@
   std::snprintf(view, sizeof view, "%016llx", static_cast<unsigned long long>(membership_.digest()));
   json all = {
       {"me", membership_.me().name}, {"live", membership_.live()}, {"view", view}, {"members", members}};
-  if (part)
-    all["part"] = {{"place", part->place}, {"sidecars", part->sidecars}, {"endpoints", part->endpoints}};
+  if (share)
+    all["part"] = {{"place", share->instance_index},
+                   {"sidecars", share->instance_count},
+                   {"endpoints", share->own_weights}};
   return all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-std::vector<Fleet::Figure> Fleet::figures() const {
+std::vector<Fleet::Metric> Fleet::metrics() const {
   const Transport::Counts& link = transport_.counts();
   const Membership::Counts& counts = membership_.counts();
   return {
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,4 +1,4 @@
-// The fleet as one instance takes part in it: its membership on its link. Off unless the settings have it.
+// The fleet as one instance takes share in it: its membership on its link. Off unless the settings have it.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace puffinvane::fleet {
 
-struct Place {                          // what the settings say
+struct FleetConfig {                    // what the settings say
   std::string name, listen, advertise;  // advertise: where others reach it, if that is not where it listens
   std::vector<std::string> seeds;
   std::string key, zone, build, admin;  // admin: where operators ask it, told to all
@@ -22,29 +22,30 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void on_members() = 0;  // who is there changed, or what they say
+    virtual void on_members_changed() = 0;  // who is there changed, or what they say
   };
   // offset: Unix time less the loop's clock.
-  Fleet(Loop& loop, const Place& place, double offset, std::uint64_t seed, Owner& owner);
-  void open();          // throws std::runtime_error
-  void open_in_turn();  // after a predecessor, which has the address until it has handed over
-  void serving() { membership_.say(loop_.now(), Phase::Serving, membership_.me().facts); }
-  void leaving() { membership_.say(loop_.now(), Phase::Leaving, membership_.me().facts); }
+  Fleet(Loop& loop, const FleetConfig& place, double offset, std::uint64_t seed, Owner& owner);
+  void open();             // throws std::runtime_error
+  void open_with_retry();  // after a predecessor, which has the address until it has handed over
+  void announce_serving() { membership_.say(loop_.now(), Phase::Serving, membership_.me().facts); }
+  void announce_leaving() { membership_.say(loop_.now(), Phase::Leaving, membership_.me().facts); }
   void close();
-  void let_go();  // to a successor, which is a later life of this place: nobody is told that it departs
-  // This one's part of the fleet's load on each endpoint that it has pairs with, times the sidecars. Nothing
+  void close_without_departing();  // to a successor, which is a later life of this place: nobody is told that
+                                   // it departs
+  // This one's share of the fleet's load on each endpoint that it has pairs with, times the sidecars. Nothing
   // until it has met another: the numbers in the settings hold till then, and live ones ever after.
-  struct Part {
-    std::map<std::string, double, std::less<>> endpoints;
-    int place = 0, sidecars = 1;
+  struct Share {
+    std::map<std::string, double, std::less<>> own_weights;
+    int instance_index = 0, instance_count = 1;
   };
-  std::optional<Part> part(const std::vector<Sharer>& endpoints) const;
-  std::string shown(const std::optional<Part>& part) const;  // JSON, as `puffinvane fleet show` reads it
-  struct Figure {
+  std::optional<Share> own_share(const std::vector<Participant>& endpoints) const;
+  std::string to_json(const std::optional<Share>& share) const;  // JSON, as `puffinvane fleet show` reads it
+  struct Metric {
     const char *name, *type, *help;
     std::uint64_t value;
   };
-  std::vector<Figure> figures() const;
+  std::vector<Metric> metrics() const;
 
  private:
   void send(const std::string& address, const Message& message) override {
--- a/src/fleet/membership/member.h
+++ b/src/fleet/membership/member.h
@@ -20,7 +20,7 @@
 // A life is a start of the process under its name, later ones higher; within it a member raises its
 // incarnation with whatever it says of itself anew, and to refute what is said of it.
 struct Version {
-  std::uint64_t life = 0;
+  std::uint64_t generation = 0;
   std::uint32_t incarnation = 0;
   friend auto operator<=>(const Version&, const Version&) = default;
 };
@@ -42,13 +42,13 @@
 };
 
 // Text beyond these is foreign, and dropped.
-constexpr std::size_t kMostName = 64, kMostFacts = 4, kMostFact = 32;
-bool proper(const Member& member);
-std::size_t weight(const MembershipUpdate& update);  // bytes of a datagram that it takes, at most
+constexpr std::size_t kMaxNameBytes = 64, kMaxFactCount = 4, kMaxFactBytes = 32;
+bool is_valid(const Member& member);
+std::size_t max_encoded_size(const MembershipUpdate& update);  // bytes of a datagram that it takes, at most
 
 struct Message {
   // Ask: that another be pinged for the sender; Nothing: it was pinged, and is silent.
-  enum class Kind : std::uint8_t { Ping, Ack, Ask, Nothing, Gossip, State };
+  enum class Kind : std::uint8_t { Ping, Ack, IndirectPing, Nack, Gossip, State };
   Kind kind = Kind::Gossip;
   std::uint32_t number = 0;
   std::string from, about;   // about: whom a ping is for, or whom an ask is about
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -16,19 +16,20 @@
 constexpr std::uint64_t kMostLife = std::uint64_t{1} << 53;
 }  // namespace
 
-bool proper(const Member& member) {
+bool is_valid(const Member& member) {
   auto text = [](const std::string& one, std::size_t most) { return one.size() <= most; };
-  if (member.name.empty() || member.address.empty() || member.facts.size() > kMostFacts) return false;
-  if (!text(member.name, kMostName) || !text(member.address, kMostName)) return false;
-  if (!text(member.zone, kMostFact) || !text(member.build, kMostFact)) return false;
-  if (member.version.life == 0 || member.version.life > kMostLife || member.phase > Phase::Leaving)
+  if (member.name.empty() || member.address.empty() || member.facts.size() > kMaxFactCount) return false;
+  if (!text(member.name, kMaxNameBytes) || !text(member.address, kMaxNameBytes)) return false;
+  if (!text(member.zone, kMaxFactBytes) || !text(member.build, kMaxFactBytes)) return false;
+  if (member.version.generation == 0 || member.version.generation > kMostLife ||
+      member.phase > Phase::Leaving)
     return false;
   return std::all_of(member.facts.begin(), member.facts.end(), [&](const auto& fact) {
-    return text(fact.first, kMostFact) && text(fact.second, kMostFact);
+    return text(fact.first, kMaxFactBytes) && text(fact.second, kMaxFactBytes);
   });
 }
 
-std::size_t weight(const MembershipUpdate& update) {
+std::size_t max_encoded_size(const MembershipUpdate& update) {
   const Member& member = update.member;
   std::size_t all = 40 + member.name.size() + member.address.size() + member.zone.size() +
                     member.build.size() + update.by.size();
@@ -45,9 +46,9 @@
     {Probe::Helped, Input::Over, Probe::Idle, &Membership::probe_failed},
 };
 
-Membership::Membership(Member me, std::vector<std::string> seeds, const Pace& pace, std::uint64_t seed,
-                       Host& host)
-    : me_(std::move(me)), seeds_(std::move(seeds)), pace_(pace), chance_(seed), host_(host) {
+Membership::Membership(Member me, std::vector<std::string> seeds, const DetectorTiming& timing,
+                       std::uint64_t seed, Host& host)
+    : me_(std::move(me)), seeds_(std::move(seeds)), timing_(timing), chance_(seed), host_(host) {
   std::erase(seeds_, me_.address);
   digest_ = mark(me_);
 }
@@ -55,9 +56,9 @@
 void Membership::start(double now) {
   now_ = now;
   // Not all at once where all were started at once.
-  next_probe_ = now + pace_.probe * double(random(1000)) / 1000;
-  next_reconnect_ = now + pace_.reconnect * double(random(1000)) / 1000;
-  next_forget_ = now + pace_.forget / 10;
+  next_probe_ = now + timing_.probe * double(random(1000)) / 1000;
+  next_reconnect_ = now + timing_.reconnect * double(random(1000)) / 1000;
+  next_forget_ = now + timing_.forget / 10;
   spread(me_.name);
   if (!seeds_.empty()) host_.sync(seeds_[random(seeds_.size())]);
   ask_to_wake();
@@ -67,14 +68,14 @@
   // Each earlier one asked for comes too: answered by asking again they would only grow in number.
   if (asked_wake_ < 0 || now < asked_wake_) return;
   // Later than asked for, this process stood still: what is overdue says nothing of others.
-  if (now > asked_wake_ + pace_.answer) stalled(now - asked_wake_);
+  if (now > asked_wake_ + timing_.answer) stalled(now - asked_wake_);
   now_ = now, asked_wake_ = -1;
   if (departed_) return;
   if (!superseded_) {
     if (now >= next_step_) apply_transition(kProbe, *this, probe_, Input::Silent);
     if (now >= next_probe_) {
       apply_transition(kProbe, *this, probe_, Input::Over);
-      next_probe_ = now + pace_.probe * (1 + awareness_);
+      next_probe_ = now + timing_.probe * (1 + awareness_);
       apply_transition(kProbe, *this, probe_, Input::Due);
     }
     help_due();
@@ -127,7 +128,7 @@
   if (target_.empty()) return void(probe_ = Probe::Idle);
   number_ = chance_();
   helpers_ = silent_helpers_ = 0;
-  next_step_ = now_ + pace_.answer * (1 + awareness_);
+  next_step_ = now_ + timing_.answer * (1 + awareness_);
   const Entry& target = others_.at(target_);
   // Who is suspected hears of it first, and can say otherwise.
   send(target.member.address, {Message::Kind::Ping, number_, {}, target_, 0, {}},
@@ -135,9 +136,9 @@
 }
 
 void Membership::ask_for_help() {
-  for (const std::string& name : random_live(std::size_t(pace_.helpers), target_)) {
+  for (const std::string& name : random_live(std::size_t(timing_.helpers), target_)) {
     ++helpers_;
-    send(others_.at(name).member.address, {Message::Kind::Ask, number_, {}, target_, 0, {}});
+    send(others_.at(name).member.address, {Message::Kind::IndirectPing, number_, {}, target_, 0, {}});
   }
 }
 
@@ -156,7 +157,7 @@
 void Membership::help_due() {
   std::erase_if(helping_, [this](const Helped& one) {
     if (now_ < one.until) return false;
-    send(one.address, {Message::Kind::Nothing, one.asked, {}, {}, 0, {}});
+    send(one.address, {Message::Kind::Nack, one.asked, {}, {}, 0, {}});
     return true;
   });
 }
@@ -164,7 +165,7 @@
 double Membership::log_size() const { return std::max(1.0, std::log10(double(living_.size() + 1))); }
 
 double Membership::suspected_until(const Suspicion& suspicion) const {
-  int possible = std::min(pace_.confirmations, int(living_.size()) - 1);
+  int possible = std::min(timing_.confirmations, int(living_.size()) - 1);
   if (possible < 1) return suspicion.from + suspicion.least;
   double heard = std::min(double(suspicion.accusers.size()) - 1, double(possible));
   double part = std::log(heard + 1) / std::log(possible + 1);
@@ -172,14 +173,14 @@
 }
 
 void Membership::suspect(const std::string& name, const std::string& by) {
-  double least = pace_.suspicion * log_size() * pace_.probe;
-  suspicions_[name] = {now_, least, least * pace_.doubt, {by}, by, 0};
+  double least = timing_.suspicion * log_size() * timing_.probe;
+  suspicions_[name] = {now_, least, least * timing_.doubt, {by}, by, 0};
   ++counts_.suspected;
 }
 
 void Membership::confirm(const std::string& name, const std::string& by) {
   Suspicion& suspicion = suspicions_[name];
-  if (int(suspicion.accusers.size()) > pace_.confirmations || !suspicion.accusers.insert(by).second) return;
+  if (int(suspicion.accusers.size()) > timing_.confirmations || !suspicion.accusers.insert(by).second) return;
   suspicion.latest = by;
   spread(name);
 }
@@ -194,7 +195,7 @@
     }
     // Its refutation may have been lost on the way to this one alone, which would bury it for all.
     ++suspicion.last_words;
-    suspicion.from += pace_.probe / 4;
+    suspicion.from += timing_.probe / 4;
     send(others_.at(name).member.address, {Message::Kind::Ping, chance_(), {}, name, 0, {}}, name);
   }
   for (const std::string& name : due) {
@@ -206,7 +207,7 @@
 // ---- news
 
 void Membership::hear(const MembershipUpdate& update) {
-  if (!proper(update.member) || update.state > MemberState::Departed || update.by.size() > kMostName)
+  if (!is_valid(update.member) || update.state > MemberState::Departed || update.by.size() > kMaxNameBytes)
     return void(++counts_.dropped);
   if (update.member.name == me_.name) return hear_of_me(update);
   auto known = others_.find(update.member.name);
@@ -244,8 +245,8 @@
 
 void Membership::hear_of_me(const MembershipUpdate& update) {
   const Version heard = update.member.version;
-  if (heard.life > me_.version.life) return outlive(update);
-  if (heard.life < me_.version.life || departed_) return;
+  if (heard.generation > me_.version.generation) return outlive(update);
+  if (heard.generation < me_.version.generation || departed_) return;
   // Refuted long since, but whoever passes it on has not heard so, and may be about to bury this one.
   if (heard.incarnation < me_.version.incarnation)
     return update.state == MemberState::Alive ? void() : void(queue_.try_emplace(me_.name, 0));
@@ -253,7 +254,7 @@
   ++counts_.refuted;
   aware(1);
   bool last = heard.incarnation == std::numeric_limits<std::uint32_t>::max();
-  renew(last ? Version{heard.life + 1, 0} : Version{heard.life, heard.incarnation + 1});
+  renew(last ? Version{heard.generation + 1, 0} : Version{heard.generation, heard.incarnation + 1});
 }
 
 // A later life of this name. At this address it was one of this place's, by a clock that was ahead, and dead
@@ -265,7 +266,7 @@
     bool before = std::exchange(superseded_, !over);
     if (over || !before) host_.superseded(superseded_, update.member.address);
   }
-  if (over) renew({update.member.version.life + 1, 0});
+  if (over) renew({update.member.version.generation + 1, 0});
 }
 
 void Membership::renew(Version version) {
@@ -280,7 +281,7 @@
   if (me_.phase == phase && me_.facts == facts) return;
   now_ = now;
   me_.phase = phase, me_.facts = std::move(facts);
-  renew({me_.version.life, me_.version.incarnation + 1});
+  renew({me_.version.generation, me_.version.incarnation + 1});
   ask_to_wake();
 }
 
@@ -289,7 +290,7 @@
   now_ = now;
   if (!superseded_) {
     departed_ = true;
-    for (const std::string& name : random_live(std::size_t(pace_.fanout) * 2, ""))
+    for (const std::string& name : random_live(std::size_t(timing_.fanout) * 2, ""))
       send(others_.at(name).member.address, {}, me_.name);
   }
   departed_ = true;
@@ -310,7 +311,7 @@
   message.digest = digest_;
   std::size_t bytes = 0;
   if (std::optional<MembershipUpdate> one = first.empty() ? std::nullopt : update_of(first)) {
-    bytes += weight(*one);
+    bytes += max_encoded_size(*one);
     message.updates.push_back(std::move(*one));
   }
   // The least told first, as many as fit.
@@ -323,13 +324,13 @@
                     [](const auto& one, const auto& other) {
                       return one.first != other.first ? one.first < other.first : *one.second < *other.second;
                     });
-  const int enough = pace_.retransmit * int(std::ceil(std::log10(double(living_.size() + 2))));
+  const int enough = timing_.retransmit * int(std::ceil(std::log10(double(living_.size() + 2))));
   std::vector<std::string> passed_on;
   for (std::size_t i = 0; i < most; ++i) {
     std::optional<MembershipUpdate> one = update_of(*order[i].second);
-    if (one && bytes + weight(*one) > kMostBytes) break;
+    if (one && bytes + max_encoded_size(*one) > kMostBytes) break;
     passed_on.push_back(*order[i].second);
-    if (one) bytes += weight(*one), message.updates.push_back(std::move(*one));
+    if (one) bytes += max_encoded_size(*one), message.updates.push_back(std::move(*one));
   }
   for (const std::string& name : passed_on) {
     if (++queue_[name] >= enough) queue_.erase(name);
@@ -338,9 +339,9 @@
 }
 
 void Membership::gossip() {
-  next_gossip_ = now_ + pace_.gossip;
+  next_gossip_ = now_ + timing_.gossip;
   if (queue_.empty()) return;
-  std::vector<std::string> to = random_live(std::size_t(pace_.fanout), "");
+  std::vector<std::string> to = random_live(std::size_t(timing_.fanout), "");
   if (to.empty()) queue_.clear();
   for (const std::string& name : to) {
     if (!queue_.empty()) send(others_.at(name).member.address, {});
@@ -392,16 +393,16 @@
       });
       break;
     }
-    case Message::Kind::Ask: {
+    case Message::Kind::IndirectPing: {
       auto known = others_.find(message.about);
       if (known == others_.end() || helping_.size() >= kMostHelp) break;
-      double until = now + (pace_.probe - pace_.answer) * kHelpShare;
+      double until = now + (timing_.probe - timing_.answer) * kHelpShare;
       helping_.push_back({source, chance_(), message.number, until});
       send(known->second.member.address,
            {Message::Kind::Ping, helping_.back().number, {}, message.about, 0, {}});
       break;
     }
-    case Message::Kind::Nothing:
+    case Message::Kind::Nack:
       if (probe_ == Probe::Helped && message.number == number_) ++silent_helpers_;
       break;
     case Message::Kind::Gossip:
@@ -435,16 +436,16 @@
 
 // Views that still differ when there is nothing new are compared whole: news was lost, or a cut has healed.
 void Membership::compare(const Message& message) {
-  if (message.digest == digest_ || !queue_.empty() || now_ < changed_at_ + pace_.settle) return;
+  if (message.digest == digest_ || !queue_.empty() || now_ < changed_at_ + timing_.settle) return;
   auto known = others_.find(message.from);
-  if (now_ < synced_at_ + pace_.sync || known == others_.end()) return;
+  if (now_ < synced_at_ + timing_.sync || known == others_.end()) return;
   synced_at_ = now_;
   ++counts_.syncs;
   host_.sync(known->second.member.address);
 }
 
 void Membership::reconnect() {
-  next_reconnect_ = now_ + pace_.reconnect * (0.5 + double(random(1000)) / 1000);
+  next_reconnect_ = now_ + timing_.reconnect * (0.5 + double(random(1000)) / 1000);
   std::vector<const Entry*> lost;
   std::set<std::string> reached;
   for (const auto& [name, entry] : others_) {
@@ -472,12 +473,12 @@
 }
 
 void Membership::forget() {
-  next_forget_ = now_ + pace_.forget / 10;
+  next_forget_ = now_ + timing_.forget / 10;
   bool full = others_.size() >= kMost;
   auto oldest = others_.end();
   for (auto at = others_.begin(); at != others_.end();) {
     bool gone = !live(at->second);
-    if (gone && now_ > at->second.since + pace_.forget) {
+    if (gone && now_ > at->second.since + timing_.forget) {
       queue_.erase(at->first);
       at = others_.erase(at);
       continue;
@@ -490,7 +491,8 @@
 }
 
 std::uint64_t Membership::mark(const Member& member) const {
-  std::uint64_t seed = XXH64(&member.version.life, sizeof member.version.life, member.version.incarnation);
+  std::uint64_t seed =
+      XXH64(&member.version.generation, sizeof member.version.generation, member.version.incarnation);
   return XXH64(member.name.data(), member.name.size(), seed);
 }
 
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -13,7 +13,7 @@
 namespace puffinvane::fleet {
 
 // Times in seconds. A detector's own: what an operator sets is whom to ask and under which name.
-struct Pace {
+struct DetectorTiming {
   double probe = 0.5;   // a member a period
   double answer = 0.2;  // how long a direct answer is waited for; the rest of the period is for others' help
   double gossip = 0.1;
@@ -53,8 +53,9 @@
   static constexpr std::size_t kMost = 4096;       // members, dead ones too: they go first
   static constexpr std::size_t kMostBytes = 1150;  // of news in a datagram
 
-  // me.version.life: by the clock; what others remember of the name may raise it.
-  Membership(Member me, std::vector<std::string> seeds, const Pace& pace, std::uint64_t seed, Host& host);
+  // me.version.generation: by the clock; what others remember of the name may raise it.
+  Membership(Member me, std::vector<std::string> seeds, const DetectorTiming& timing, std::uint64_t seed,
+             Host& host);
 
   void start(double now);
   void woken(double now);
@@ -124,7 +125,7 @@
 
   Member me_;
   std::vector<std::string> seeds_;
-  Pace pace_;
+  DetectorTiming timing_;
   pcg32 chance_;
   Host& host_;
   std::map<std::string, Entry> others_;
--- a/src/fleet/membership/membership_test.cpp
+++ b/src/fleet/membership/membership_test.cpp
@@ -49,7 +49,7 @@
   };
   world.start(7, 2);
   assert(world.until_agreed(20, 20) >= 0 && !buried);
-  assert(world.node(3).membership.others().at("n7").member.version.life == 2);
+  assert(world.node(3).membership.others().at("n7").member.version.generation == 2);
 }
 
 // Its clock was set back while it was down: what others remember of the name would hide it.
@@ -59,7 +59,7 @@
   assert(world.until_agreed(20, 20) >= 0);
   world.start(7, 5);
   assert(world.until_agreed(20, 20) >= 0);
-  assert(world.node(3).membership.others().at("n7").member.version.life == 1001);
+  assert(world.node(3).membership.others().at("n7").member.version.generation == 1001);
   assert(!world.node(7).superseded_now);
 }
 
@@ -187,7 +187,7 @@
         lie.updates.push_back(update);
       }
       MembershipUpdate old = lie.updates[0];
-      old.member.version.life = 1, old.member.address = "10.9.9.9:1", old.state = MemberState::Alive;
+      old.member.version.generation = 1, old.member.address = "10.9.9.9:1", old.state = MemberState::Alive;
       lie.updates.push_back(old);
       world.carry(world.node(0), World::address_of(to), lie);
     }
@@ -209,7 +209,7 @@
   world.carry(world.node(0), World::address_of(5), lie);
   world.run(1);
   assert(world.until_agreed(10, 60) >= 0);
-  assert(world.node(5).membership.others().at("n3").member.version.life == 2);
+  assert(world.node(5).membership.others().at("n3").member.version.generation == 2);
 }
 
 void names_ever_seen_fill_nothing(std::uint64_t seed) {
@@ -219,7 +219,7 @@
     Message flood;
     MembershipUpdate update;
     update.member.name = "x" + std::to_string(name), update.member.address = "10.9.9.9:1";
-    update.member.version.life = 1;
+    update.member.version.generation = 1;
     flood.updates.push_back(update);
     world.node(1).membership.receive(world.now, flood, "10.9.9.9:1");
   }
@@ -227,7 +227,7 @@
   assert(world.node(1).membership.counts().dropped > 0);
   MembershipUpdate foreign;
   foreign.member.name = std::string(500, 'x'), foreign.member.address = "a:1",
-  foreign.member.version.life = 1;
+  foreign.member.version.generation = 1;
   Message message;
   message.updates.push_back(foreign);
   std::size_t before = world.node(2).membership.others().size();
--- a/src/fleet/membership/simulated_fleet.h
+++ b/src/fleet/membership/simulated_fleet.h
@@ -17,13 +17,13 @@
     double loss = 0, twice = 0, delay = 0.001, jitter = 0.004;
   };
   struct Node final : Membership::Host {
-    Node(World& world, int index, Member me, std::vector<std::string> seeds, const Pace& pace,
+    Node(World& world, int index, Member me, std::vector<std::string> seeds, const DetectorTiming& timing,
          std::uint64_t seed)
-        : world(world), index(index), membership(std::move(me), std::move(seeds), pace, seed, *this) {}
+        : world(world), index(index), membership(std::move(me), std::move(seeds), timing, seed, *this) {}
     void send(const std::string& address, const Message& message) override {
       ++world.messages;
       world.bytes += 60;
-      for (const MembershipUpdate& update : message.updates) world.bytes += weight(update);
+      for (const MembershipUpdate& update : message.updates) world.bytes += max_encoded_size(update);
       world.carry(*this, address, message);
     }
     void sync(const std::string& address) override { world.sync(*this, address); }
@@ -52,10 +52,10 @@
     Member me;
     me.name = name.empty() ? name_of(index) : name;
     me.address = address_of(index);
-    me.version.life = life;
+    me.version.generation = life;
     me.phase = Phase::Serving;
     stop(index);
-    auto node = std::make_unique<Node>(*this, index, me, std::move(seeds), pace, chance());
+    auto node = std::make_unique<Node>(*this, index, me, std::move(seeds), timing, chance());
     Node& started = *node;
     by_address[me.address] = &started;
     all.push_back(std::move(node));
@@ -150,7 +150,7 @@
     bool operator<(const Event& other) const { return std::pair(at, turn) > std::pair(other.at, other.turn); }
   };
   pcg32 chance;
-  Pace pace;
+  DetectorTiming timing;
   Links links;
   bool stalls = false;  // for whoever makes members stand still
   std::function<bool(int from, int to)> cut;
--- a/src/fleet/shares/shares.cpp
+++ b/src/fleet/shares/shares.cpp
@@ -20,15 +20,15 @@
   return bits ^ bits >> 31;
 }
 
-std::vector<std::uint64_t> hashes(std::span<const Sharer> all, std::uint64_t seed) {
+std::vector<std::uint64_t> hashes(std::span<const Participant> all, std::uint64_t seed) {
   std::vector<std::uint64_t> made;
-  for (const Sharer& one : all) made.push_back(XXH64(one.name.data(), one.name.size(), seed));
+  for (const Participant& one : all) made.push_back(XXH64(one.name.data(), one.name.size(), seed));
   return made;
 }
 
-double sum(std::span<const Sharer> all) {
+double sum(std::span<const Participant> all) {
   double whole = 0;
-  for (const Sharer& one : all) whole += one.size;
+  for (const Participant& one : all) whole += one.weight;
   return whole;
 }
 
@@ -36,7 +36,7 @@
 // pair: whoever comes or goes changes only pairs of its own, and of those that it displaces.
 class Favourites {
  public:
-  Favourites(std::span<const Sharer> sidecars, std::span<const Sharer> endpoints)
+  Favourites(std::span<const Participant> sidecars, std::span<const Participant> endpoints)
       : rows_(hashes(sidecars, 1)), columns_(hashes(endpoints, 2)) {}
 
   std::vector<Pair> pairs(int of_endpoint, int of_sidecar) const {
@@ -73,8 +73,8 @@
 // Loads so that each sidecar brings what its size is and each endpoint gets what its is: rows and columns are
 // scaled in turn (Sinkhorn's iteration). It ends with the sidecars exact, as what they bring is not theirs to
 // choose, and returns how far the worst endpoint is over what it is due.
-double even_out(std::vector<Pair>& pairs, std::span<const Sharer> sidecars,
-                std::span<const Sharer> endpoints) {
+double even_out(std::vector<Pair>& pairs, std::span<const Participant> sidecars,
+                std::span<const Participant> endpoints) {
   const double brought = sum(sidecars), due = sum(endpoints);
   std::vector<double> rows(sidecars.size()), columns(endpoints.size());
   for (Pair& one : pairs) one.load = 1;
@@ -83,16 +83,16 @@
     std::fill(columns.begin(), columns.end(), 0);
     for (const Pair& one : pairs) columns[std::size_t(one.endpoint)] += one.load;
     for (Pair& one : pairs)
-      one.load *= endpoints[std::size_t(one.endpoint)].size / due / columns[std::size_t(one.endpoint)];
+      one.load *= endpoints[std::size_t(one.endpoint)].weight / due / columns[std::size_t(one.endpoint)];
     std::fill(rows.begin(), rows.end(), 0);
     for (const Pair& one : pairs) rows[std::size_t(one.sidecar)] += one.load;
     for (Pair& one : pairs)
-      one.load *= sidecars[std::size_t(one.sidecar)].size / brought / rows[std::size_t(one.sidecar)];
+      one.load *= sidecars[std::size_t(one.sidecar)].weight / brought / rows[std::size_t(one.sidecar)];
     std::fill(columns.begin(), columns.end(), 0);
     for (const Pair& one : pairs) columns[std::size_t(one.endpoint)] += one.load;
     worst = 0;
     for (std::size_t i = 0; i < columns.size(); ++i)
-      worst = std::max(worst, columns[i] / (endpoints[i].size / due));
+      worst = std::max(worst, columns[i] / (endpoints[i].weight / due));
     if (worst < kEven) break;
   }
   return worst;
@@ -100,19 +100,19 @@
 
 }  // namespace
 
-Cut cut(std::span<const Sharer> sidecars, std::span<const Sharer> endpoints) {
-  Cut made;
+Assignment assign_endpoints(std::span<const Participant> sidecars, std::span<const Participant> endpoints) {
+  Assignment made;
   if (sidecars.empty() || endpoints.empty()) return made;
   Favourites favourites(sidecars, endpoints);
   for (int wider = 0; wider <= kMostWider; ++wider) {
-    made.pairs = favourites.pairs(kFewestSidecars << wider, kFewestEndpoints << wider);
-    made.unevenness = even_out(made.pairs, sidecars, endpoints);
-    if (made.unevenness < kUneven) break;
+    made.pairs = favourites.pairs(kMinSidecarsPerEndpoint << wider, kMinEndpointsPerSidecar << wider);
+    made.max_overload = even_out(made.pairs, sidecars, endpoints);
+    if (made.max_overload < kUneven) break;
   }
   return made;
 }
 
-double part_of_budget(const Census& census) {
+double budget_share(const BudgetView& census) {
   // Who came while others are silent is unknown across the cut, if it is one: it has no part of what they
   // hold.
   if (census.unheard > 0 && census.newcomer) return 0;
--- a/src/fleet/shares/shares.h
+++ b/src/fleet/shares/shares.h
@@ -11,9 +11,9 @@
 
 namespace puffinvane::fleet {
 
-struct Sharer {
+struct Participant {
   std::string_view name;
-  double size = 1;  // of what it brings (a sidecar), or can take (an endpoint), against the others'
+  double weight = 1;  // of what it brings (a sidecar), or can take (an endpoint), against the others'
 };
 
 struct Pair {
@@ -21,19 +21,19 @@
   double load = 0;  // of all that the fleet brings, which is 1
 };
 
-struct Cut {
+struct Assignment {
   std::vector<Pair> pairs;  // by sidecar, then endpoint
-  double unevenness = 1;    // the most loaded endpoint over what its size is due
+  double max_overload = 1;  // the most loaded endpoint over what its size is due
 };
 
-constexpr int kFewestSidecars = 4;   // of an endpoint, as far as there are as many
-constexpr int kFewestEndpoints = 4;  // of a sidecar
+constexpr int kMinSidecarsPerEndpoint = 4;  // of an endpoint, as far as there are as many
+constexpr int kMinEndpointsPerSidecar = 4;  // of a sidecar
 
-Cut cut(std::span<const Sharer> sidecars, std::span<const Sharer> endpoints);
+Assignment assign_endpoints(std::span<const Participant> sidecars, std::span<const Participant> endpoints);
 
 // The numbers a budget may be spent by, which are others than those that share: a member that is not heard of
 // may be across a cut, where it spends its part too.
-struct Census {
+struct BudgetView {
   std::size_t live = 1;       // with this one
   std::size_t unheard = 0;    // dead by all appearances, not known to have left, not forgotten
   std::size_t newcomers = 0;  // of the live, whose lives are younger than the oldest of those silences
@@ -41,6 +41,6 @@
   std::size_t given = 1;      // in the settings
 };
 // Of a budget that the fleet has as a whole, the part that this one may spend.
-double part_of_budget(const Census& census);
+double budget_share(const BudgetView& census);
 
 }  // namespace puffinvane::fleet
--- a/src/fleet/shares/shares_test.cpp
+++ b/src/fleet/shares/shares_test.cpp
@@ -17,8 +17,8 @@
 struct Side {
   std::vector<std::string> names;
   std::vector<double> sizes;
-  std::vector<Sharer> sharers(const std::set<int>& without = {}) const {
-    std::vector<Sharer> made;
+  std::vector<Participant> sharers(const std::set<int>& without = {}) const {
+    std::vector<Participant> made;
     for (std::size_t i = 0; i < names.size(); ++i) {
       if (!without.contains(int(i))) made.push_back({names[i], sizes[i]});
     }
@@ -36,9 +36,10 @@
 }
 
 using Named = std::set<std::pair<std::string_view, std::string_view>>;
-Named named(const Cut& cut, const std::vector<Sharer>& sidecars, const std::vector<Sharer>& endpoints) {
+Named named(const Assignment& assignment, const std::vector<Participant>& sidecars,
+            const std::vector<Participant>& endpoints) {
   Named made;
-  for (const Pair& one : cut.pairs)
+  for (const Pair& one : assignment.pairs)
     made.insert({sidecars[std::size_t(one.sidecar)].name, endpoints[std::size_t(one.endpoint)].name});
   return made;
 }
@@ -54,7 +55,7 @@
 void look(int n, int m, pcg32& chance, double spread, Worst& worst) {
   Side ours = side("s", n, chance, spread), theirs = side("e", m, chance, spread);
   auto sidecars = ours.sharers(), endpoints = theirs.sharers();
-  Cut whole = cut(sidecars, endpoints);
+  Assignment whole = assign_endpoints(sidecars, endpoints);
   std::map<int, int> of_endpoint, of_sidecar;
   std::map<int, double> brought;
   for (const Pair& one : whole.pairs) {
@@ -62,17 +63,18 @@
     ++of_endpoint[one.endpoint], ++of_sidecar[one.sidecar];
     brought[one.sidecar] += one.load;
   }
-  for (int i = 0; i < m; ++i) assert(of_endpoint[i] >= std::min(n, kFewestSidecars));
-  for (int i = 0; i < n; ++i) assert(of_sidecar[i] >= std::min(m, kFewestEndpoints));
+  for (int i = 0; i < m; ++i) assert(of_endpoint[i] >= std::min(n, kMinSidecarsPerEndpoint));
+  for (int i = 0; i < n; ++i) assert(of_sidecar[i] >= std::min(m, kMinEndpointsPerSidecar));
   double all = 0;
-  for (const Sharer& one : sidecars) all += one.size;
-  for (int i = 0; i < n; ++i) assert(std::abs(brought[i] - sidecars[std::size_t(i)].size / all) < 1e-9);
-  if (whole.unevenness > worst.uneven)
-    worst.uneven = whole.unevenness, worst.uneven_n = n, worst.uneven_m = m;
+  for (const Participant& one : sidecars) all += one.weight;
+  for (int i = 0; i < n; ++i) assert(std::abs(brought[i] - sidecars[std::size_t(i)].weight / all) < 1e-9);
+  if (whole.max_overload > worst.uneven)
+    worst.uneven = whole.max_overload, worst.uneven_n = n, worst.uneven_m = m;
   worst.pairs_over = std::max(worst.pairs_over, double(whole.pairs.size()) / (4.0 * (n + m)));
   if (n < 2) return;
   auto fewer = ours.sharers({int(chance(std::uint32_t(n)))});
-  Named before = named(whole, sidecars, endpoints), after = named(cut(fewer, endpoints), fewer, endpoints);
+  Named before = named(whole, sidecars, endpoints),
+        after = named(assign_endpoints(fewer, endpoints), fewer, endpoints);
   // The leaver's own pairs are gone with it: what moved is what others have now and had not.
   std::size_t moved = 0;
   for (const auto& pair : after) moved += !before.contains(pair);
@@ -116,7 +118,7 @@
   pcg32 chance(3);
   Side ours = side("s", 50, chance, 2), theirs = side("e", 40, chance, 2);
   auto sidecars = ours.sharers(), endpoints = theirs.sharers();
-  Cut one = cut(sidecars, endpoints), other = cut(sidecars, endpoints);
+  Assignment one = assign_endpoints(sidecars, endpoints), other = assign_endpoints(sidecars, endpoints);
   assert(named(one, sidecars, endpoints) == named(other, sidecars, endpoints));
 }
 
@@ -130,7 +132,7 @@
     Side ours = side("s", n, chance), theirs = side("e", m, chance);
     auto endpoints = theirs.sharers();
     int dead = int(chance(std::uint32_t(n - 1)));
-    bool within = dead < kFewestSidecars;
+    bool within = dead < kMinSidecarsPerEndpoint;
     std::set<std::string_view> covered;
     for (int me = dead; me < n; ++me) {
       std::set<int> missed;
@@ -138,7 +140,7 @@
         if (other != me && chance(10) < 3) missed.insert(other);  // of dead ones: known to be dead
       }
       auto view = ours.sharers(missed);
-      Cut mine = cut(view, endpoints);
+      Assignment mine = assign_endpoints(view, endpoints);
       for (const Pair& one : mine.pairs) {
         if (view[std::size_t(one.sidecar)].name == ours.names[std::size_t(me)])
           covered.insert(endpoints[std::size_t(one.endpoint)].name);
@@ -148,7 +150,7 @@
     (within ? alone : alone_beyond) += std::size_t(m) - covered.size();
   }
   std::printf("  differing views: of %zu endpoints alone %zu with under %d dead counted in, %zu with more\n",
-              endpoints_seen, alone, kFewestSidecars, alone_beyond);
+              endpoints_seen, alone, kMinSidecarsPerEndpoint, alone_beyond);
   assert(alone == 0);
 }
 
@@ -164,16 +166,15 @@
     double spent = 0;
     for (std::size_t i = 0; i < sides; ++i) {
       std::size_t unheard = all - members[i];
-      Census old{members[i] + come[i], unheard, come[i], false, given}, fresh = old;
+      BudgetView old{members[i] + come[i], unheard, come[i], false, given}, fresh = old;
       fresh.newcomer = true;
-      spent += double(members[i]) * part_of_budget(old) + double(come[i]) * part_of_budget(fresh);
+      spent += double(members[i]) * budget_share(old) + double(come[i]) * budget_share(fresh);
     }
     most = std::max(most, spent);
   }
   std::printf("  budget over all sides of a cut, at most %.3f of the rule\n", most);
   assert(most < 1 + 1e-9);
-  assert(part_of_budget({1, 0, 0, false, 40}) ==
-         1.0 / 40);  // alone by its view, one of forty by the settings
+  assert(budget_share({1, 0, 0, false, 40}) == 1.0 / 40);  // alone by its view, one of forty by the settings
 }
 
 void time_of_a_cut() {
@@ -181,7 +182,7 @@
   Side ours = side("s", 1000, chance, 2), theirs = side("e", 1000, chance, 2);
   auto sidecars = ours.sharers(), endpoints = theirs.sharers();
   auto from = std::chrono::steady_clock::now();
-  cut(sidecars, endpoints);
+  assign_endpoints(sidecars, endpoints);
   std::chrono::duration<double> took = std::chrono::steady_clock::now() - from;
   std::printf("  a cut of 1,000 sidecars and 1,000 endpoints takes %.1f ms\n", took.count() * 1e3);
 }
--- a/src/fleet/transport/codec.cpp
+++ b/src/fleet/transport/codec.cpp
@@ -51,7 +51,7 @@
 
 json written(const MembershipUpdate& update) {
   const Member& of = update.member;
-  return json::array({int(update.state), update.by, of.name, of.address, of.version.life,
+  return json::array({int(update.state), update.by, of.name, of.address, of.version.generation,
                       of.version.incarnation, int(of.phase), of.zone, of.build, of.tier, of.facts});
 }
 
@@ -74,11 +74,11 @@
     if (!read(value, of.facts[key])) return false;
   }
   return read(from[0], update.state, std::uint64_t(MemberState::Departed)) && read(from[1], update.by) &&
-         read(from[2], of.name) && read(from[3], of.address) && read(from[4], of.version.life, ~0ull) &&
+         read(from[2], of.name) && read(from[3], of.address) && read(from[4], of.version.generation, ~0ull) &&
          read(from[5], of.version.incarnation, 0xffffffff) &&
          read(from[6], of.phase, std::uint64_t(Phase::Leaving)) && read(from[7], of.zone) &&
-         read(from[8], of.build) && read(from[9], of.tier, 1 << 20) && proper(of) &&
-         update.by.size() <= kMostName;
+         read(from[8], of.build) && read(from[9], of.tier, 1 << 20) && is_valid(of) &&
+         update.by.size() <= kMaxNameBytes;
 }
 
 }  // namespace
@@ -100,12 +100,12 @@
   return bytes + body;
 }
 
-std::optional<Message> decode(std::string_view bytes, std::string_view key, Fault& fault) {
-  fault = Fault::Malformed;
+std::optional<Message> decode(std::string_view bytes, std::string_view key, DecodeError& error) {
+  error = DecodeError::Malformed;
   if (bytes.size() < kHead || bytes.substr(0, kMagic.size()) != kMagic) return std::nullopt;
-  if (bytes[2] != kVersion) return fault = Fault::Version, std::nullopt;
+  if (bytes[2] != kVersion) return error = DecodeError::WrongVersion, std::nullopt;
   std::string_view head = bytes.substr(0, kHead), body = bytes.substr(kHead);
-  if ((bytes[3] == 1) == key.empty() || (bytes[3] & ~1)) return fault = Fault::Foreign, std::nullopt;
+  if ((bytes[3] == 1) == key.empty() || (bytes[3] & ~1)) return error = DecodeError::WrongKey, std::nullopt;
   if (!key.empty()) {
     if (body.size() < kCode) return std::nullopt;
     std::string_view fields = body.substr(0, kCode);
@@ -113,7 +113,7 @@
     auto code = code_of(head, body, key);
     unsigned differs = 0;  // all of it is compared, so that the time taken tells nothing of where they part
     for (std::size_t i = 0; i < kCode; ++i) differs |= unsigned(std::uint8_t(fields[i]) ^ code[i]);
-    if (differs) return fault = Fault::Foreign, std::nullopt;
+    if (differs) return error = DecodeError::WrongKey, std::nullopt;
   }
   Shallow shallow;
   if (!json::sax_parse(body, &shallow, json::input_format_t::cbor)) return std::nullopt;
@@ -123,12 +123,12 @@
   if (!read(fields[0], message.kind, std::uint64_t(Message::Kind::State)) ||
       !read(fields[1], message.number, 0xffffffff) || !read(fields[2], message.from) ||
       !read(fields[3], message.about) || !read(fields[4], message.digest, ~0ull) ||
-      message.from.size() > kMostName || message.about.size() > kMostName)
+      message.from.size() > kMaxNameBytes || message.about.size() > kMaxNameBytes)
     return std::nullopt;
   for (const json& one : fields[5]) {
     if (!read(one, message.updates.emplace_back())) return std::nullopt;
   }
-  fault = Fault::None;
+  error = DecodeError::None;
   return message;
 }
 
--- a/src/fleet/transport/codec.h
+++ b/src/fleet/transport/codec.h
@@ -9,13 +9,13 @@
 
 namespace puffinvane::fleet {
 
-constexpr std::size_t kMostDatagram = 1400;
-constexpr std::size_t kMostState = std::size_t{1} << 20;
+constexpr std::size_t kMaxDatagramBytes = 1400;
+constexpr std::size_t kMaxStateBytes = std::size_t{1} << 20;
 
 // key: shared by all members; empty: none, and messages carry no code.
 std::string encode(const Message& message, std::string_view key);
 
-enum class Fault { None, Malformed, Foreign, Version };  // Foreign: another key's, or none
-std::optional<Message> decode(std::string_view bytes, std::string_view key, Fault& fault);
+enum class DecodeError { None, Malformed, WrongKey, WrongVersion };  // Foreign: another key's, or none
+std::optional<Message> decode(std::string_view bytes, std::string_view key, DecodeError& error);
 
 }  // namespace puffinvane::fleet
--- a/src/fleet/transport/codec_test.cpp
+++ b/src/fleet/transport/codec_test.cpp
@@ -24,7 +24,7 @@
 }
 
 Message message() {
-  return {Message::Kind::Ask, 0xfffffff0, "n1", "n2", ~0ull, {update_of(3), update_of(4)}};
+  return {Message::Kind::IndirectPing, 0xfffffff0, "n1", "n2", ~0ull, {update_of(3), update_of(4)}};
 }
 
 bool same(const Message& one, const Message& other) {
@@ -39,9 +39,9 @@
 
 void what_was_written_is_read() {
   for (const char* key : {"", "a key"}) {
-    Fault fault;
-    auto back = decode(encode(message(), key), key, fault);
-    assert(back && same(*back, message()) && fault == Fault::None);
+    DecodeError error;
+    auto back = decode(encode(message(), key), key, error);
+    assert(back && same(*back, message()) && error == DecodeError::None);
   }
 }
 
@@ -50,16 +50,16 @@
   for (std::size_t at = 0; at < bytes.size(); ++at) {
     std::string spoilt = bytes;
     spoilt[at] ^= 1;
-    Fault fault;
-    assert(!decode(spoilt, "a key", fault) && fault != Fault::None);
-    assert(!decode(bytes.substr(0, at), "a key", fault));
+    DecodeError error;
+    assert(!decode(spoilt, "a key", error) && error != DecodeError::None);
+    assert(!decode(bytes.substr(0, at), "a key", error));
   }
-  Fault fault;
-  assert(!decode(bytes, "another", fault) && fault == Fault::Foreign);
-  assert(!decode(bytes, "", fault) && fault == Fault::Foreign);
-  assert(!decode(encode(message(), ""), "a key", fault) && fault == Fault::Foreign);
+  DecodeError error;
+  assert(!decode(bytes, "another", error) && error == DecodeError::WrongKey);
+  assert(!decode(bytes, "", error) && error == DecodeError::WrongKey);
+  assert(!decode(encode(message(), ""), "a key", error) && error == DecodeError::WrongKey);
   bytes[2] = 2;
-  assert(!decode(bytes, "a key", fault) && fault == Fault::Version);
+  assert(!decode(bytes, "a key", error) && error == DecodeError::WrongVersion);
 }
 
 // Whatever is read of spoilt bytes is proper: names, lives and sizes within their bounds.
@@ -76,38 +76,41 @@
       else spoilt[at] = char(chance());
       if (spoilt.size() < 6) break;
     }
-    Fault fault;
-    auto message = decode(spoilt, "", fault);
+    DecodeError error;
+    auto message = decode(spoilt, "", error);
     read += message.has_value();
     if (!message) continue;
     for (const MembershipUpdate& update : message->updates)
-      assert(proper(update.member) && update.state <= MemberState::Departed);
+      assert(is_valid(update.member) && update.state <= MemberState::Departed);
   }
   assert(read > 0 && read < turns);
 }
 
 void a_megabyte_of_nested_arrays_is_dropped() {
-  std::string deep = std::string("PV\1\0", 4) + std::string(kMostState, char(0x81));
-  Fault fault;
-  assert(!decode(deep, "", fault) && fault == Fault::Malformed);
+  std::string deep = std::string("PV\1\0", 4) + std::string(kMaxStateBytes, char(0x81));
+  DecodeError error;
+  assert(!decode(deep, "", error) && error == DecodeError::Malformed);
   // A length that nothing follows, of more than there is memory for.
   std::string long_one = std::string("PV\1\0", 4) + "\x9b\x7f\xff\xff\xff\xff\xff\xff\xff";
-  assert(!decode(long_one, "", fault));
+  assert(!decode(long_one, "", error));
 }
 
 void the_fullest_message_is_a_datagram() {
   MembershipUpdate update = update_of(1);
-  update.member.name = std::string(kMostName, 'x'), update.member.address = std::string(kMostName, 'x');
-  update.member.zone = update.member.build = std::string(kMostFact, 'x'),
-  update.by = std::string(kMostName, 'x');
+  update.member.name = std::string(kMaxNameBytes, 'x'),
+  update.member.address = std::string(kMaxNameBytes, 'x');
+  update.member.zone = update.member.build = std::string(kMaxFactBytes, 'x'),
+  update.by = std::string(kMaxNameBytes, 'x');
   update.member.facts.clear();
   for (char each : {'a', 'b', 'c', 'd'})
-    update.member.facts[std::string(kMostFact, each)] = std::string(kMostFact, 'x');
-  assert(proper(update.member));
-  Message full{Message::Kind::Ping, ~0u, std::string(kMostName, 'x'), std::string(kMostName, 'x'), ~0ull, {}};
-  for (std::size_t bytes = 0; bytes + weight(update) <= Membership::kMostBytes; bytes += weight(update))
+    update.member.facts[std::string(kMaxFactBytes, each)] = std::string(kMaxFactBytes, 'x');
+  assert(is_valid(update.member));
+  Message full{
+      Message::Kind::Ping, ~0u, std::string(kMaxNameBytes, 'x'), std::string(kMaxNameBytes, 'x'), ~0ull, {}};
+  for (std::size_t bytes = 0; bytes + max_encoded_size(update) <= Membership::kMostBytes;
+       bytes += max_encoded_size(update))
     full.updates.push_back(update);
-  assert(!full.updates.empty() && encode(full, "a key").size() <= kMostDatagram);
+  assert(!full.updates.empty() && encode(full, "a key").size() <= kMaxDatagramBytes);
 }
 
 }  // namespace
--- a/src/fleet/transport/transport.cpp
+++ b/src/fleet/transport/transport.cpp
@@ -51,13 +51,13 @@
     if (heard_.size() < kLength) return;
     std::size_t length = 0;
     for (std::size_t i = 0; i < kLength; ++i) length = length << 8 | std::uint8_t(heard_[i]);
-    if (length > kMostState) return ++transport_.counts_.malformed, transport_.end(*this);
+    if (length > kMaxStateBytes) return ++transport_.counts_.malformed, transport_.end(*this);
     if (heard_.size() < kLength + length) return;
-    Fault fault;
+    DecodeError error;
     std::optional<Message> state =
-        decode(std::string_view(heard_).substr(kLength, length), transport_.key_, fault);
+        decode(std::string_view(heard_).substr(kLength, length), transport_.key_, error);
     over_ = true;
-    if (!state) return transport_.count(fault), transport_.end(*this);
+    if (!state) return transport_.count(error), transport_.end(*this);
     ++transport_.counts_.states;
     if (!asks) say();  // as it was: what the other says is its own to judge
     transport_.owner_.on_state(*state);
@@ -76,7 +76,7 @@
       owner_(owner),
       key_(std::move(key)),
       listener_(loop, *this),
-      buffer_(kMostDatagram + 1, '\0') {}
+      buffer_(kMaxDatagramBytes + 1, '\0') {}
 
 Transport::~Transport() { close(); }
 
@@ -151,25 +151,25 @@
   }
   ++counts_.received;
   counts_.bytes_received += std::uint64_t(got);
-  Fault fault = Fault::Malformed;
+  DecodeError decode_error = DecodeError::Malformed;
   std::optional<Message> message;
-  if (std::size_t(got) <= kMostDatagram)
-    message = decode(std::string_view(buffer_).substr(0, std::size_t(got)), key_, fault);
+  if (std::size_t(got) <= kMaxDatagramBytes)
+    message = decode(std::string_view(buffer_).substr(0, std::size_t(got)), key_, decode_error);
   if (message) owner_.on_message(*message, text_of(from.get()));
-  else count(fault);
+  else count(decode_error);
   return true;
 }
 
-void Transport::count(Fault fault) {
-  counts_.malformed += fault == Fault::Malformed;
-  counts_.foreign += fault == Fault::Foreign;
-  counts_.version += fault == Fault::Version;
+void Transport::count(DecodeError error) {
+  counts_.malformed += error == DecodeError::Malformed;
+  counts_.foreign += error == DecodeError::WrongKey;
+  counts_.version += error == DecodeError::WrongVersion;
 }
 
 void Transport::send(const std::string& address, const Message& message) {
   Ref<GSocketAddress> to = parse_address(address);
   std::string bytes = encode(message, key_);
-  bool fits = socket_ && to && bytes.size() <= kMostDatagram;
+  bool fits = socket_ && to && bytes.size() <= kMaxDatagramBytes;
   // A buffer that is full loses it, as the network may.
   if (!fits || g_socket_send_to(socket_.get(), to.get(), bytes.data(), bytes.size(), nullptr, nullptr) < 0)
     return void(++counts_.unsent);
--- a/src/fleet/transport/transport.h
+++ b/src/fleet/transport/transport.h
@@ -40,7 +40,7 @@
   bool may_accept() override;
   void on_accepted(Ref<GSocket> socket, int listener, double waited) override;
   bool receive_one();
-  void count(Fault fault);
+  void count(DecodeError error);
   void listen();
   void pause();
   void end(const PeerSession& session);
--- a/src/routing/routing.cpp
+++ b/src/routing/routing.cpp
@@ -308,7 +308,7 @@
     return first_match(nodes_[std::size_t(root)].any, request);
   }
 
-  static constexpr std::size_t kMaxDepth = site::kMostParts + 2;
+  static constexpr std::size_t kMaxDepth = site::kMaxPathSegments + 2;
   const site::Site& site_;
   std::vector<Destination> destinations_;
   std::vector<Node> nodes_;
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -378,20 +378,20 @@
                          json_log ? LogFormat::Json : LogFormat::Plain);
   Log& log = process_log.log();
   auto read = [file, &log](std::string& why) -> std::optional<site::Site> {
-    language::Disk disk;
-    language::Reading reading = language::read_site(file, disk);
+    language::DiskFileSource disk;
+    language::ReadResult reading = language::read_site(file, disk);
     if (!reading.found) return why = file + ": can't be read", std::nullopt;
-    if (reading.messages.none()) return std::move(reading.site);
-    for (const language::Message& message : reading.messages.in_order()) {
+    if (reading.diagnostics.empty()) return std::move(reading.site);
+    for (const language::Diagnostic& message : reading.diagnostics.sorted()) {
       log.event(Level::Error, "site.fault")
-          .with("file", reading.sources.path(message.place.file))
-          .with("line", message.place.line)
-          .with("column", message.place.column)
+          .with("file", reading.sources.path(message.location.file))
+          .with("line", message.location.line)
+          .with("column", message.location.column)
           .with("text", message.text)
           .with("fix", message.fix);
     }
-    why = file + " has " + std::to_string(reading.messages.count()) +
-          (reading.messages.count() == 1 ? " fault" : " faults");
+    why = file + " has " + std::to_string(reading.diagnostics.count()) +
+          (reading.diagnostics.count() == 1 ? " fault" : " faults");
     return std::nullopt;
   };
   return run_program(process_log, [&](std::unique_ptr<Loop>& loop) -> std::unique_ptr<Lifecycle> {
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -81,7 +81,7 @@
     if (loop().now() > started_ + kKillTimeoutSeconds) throw;
     return loop().at(loop().now() + kListenRetry, alive_.guard([this] { try_listeners(); }));
   }
-  if (fleet_) has_predecessor_ ? fleet_->open_in_turn() : fleet_->open(), look_at_shares();
+  if (fleet_) has_predecessor_ ? fleet_->open_with_retry() : fleet_->open(), look_at_shares();
   on_listeners_open();
   if (hot_restart_) hot_restart_->on_serving();
 }
@@ -96,7 +96,7 @@
 
 void Sidecar::on_serving() {
   serving_ = true;
-  if (fleet_) fleet_->serving();
+  if (fleet_) fleet_->announce_serving();
   loop().log().info() << assignment_.name << " serves tier " << assignment_.deployment.tier << " at "
                       << assignment_.listen << ", " << assignment_.known.entries.size() << " endpoints known";
 }
@@ -135,7 +135,7 @@
 void Sidecar::on_draining(double deadline_s) {
   loop().log().info() << assignment_.name << " leaves";
   leaving_ = true;
-  if (fleet_) has_successor() ? fleet_->let_go() : fleet_->leaving();
+  if (fleet_) has_successor() ? fleet_->close_without_departing() : fleet_->announce_leaving();
   forwarder_.begin_shutdown(deadline_s);
 }
 
@@ -188,7 +188,8 @@
 void Sidecar::look_at_drain() {
   operations_.pass_time(loop().now());
   // Nobody comes to it: its part of the endpoints is the others'.
-  if (fleet_ && serving_ && !leaving_) operations_.drains() ? fleet_->leaving() : fleet_->serving();
+  if (fleet_ && serving_ && !leaving_)
+    operations_.drains() ? fleet_->announce_leaving() : fleet_->announce_serving();
   if (operations_.closes_idle()) downstream_.close_idle(kFresh);
   if (looking_ || !operations_.drains()) return;
   looking_ = true;
@@ -201,13 +202,13 @@
   if (leaving_ || (!members_changed_ && shared_list_ == forwarder_.list_index())) return;
   EndpointList list = forwarder_.endpoint_list();
   members_changed_ = false, shared_list_ = list.index;
-  std::vector<fleet::Sharer> endpoints;
+  std::vector<fleet::Participant> endpoints;
   for (const ListEntry& entry : list.entries) {
     if (entry.state == ListedState::Ready) endpoints.push_back({entry.endpoint, entry.weight});
   }
-  part_ = fleet_->part(endpoints);
-  if (part_ && !part_->endpoints.empty())
-    forwarder_.set_endpoint_shares(part_->endpoints, part_->place, part_->sidecars);
+  part_ = fleet_->own_share(endpoints);
+  if (part_ && !part_->own_weights.empty())
+    forwarder_.set_endpoint_shares(part_->own_weights, part_->instance_index, part_->instance_count);
 }
 
 std::string Sidecar::telemetry() const {
@@ -215,7 +216,7 @@
                          {forwarder_.active_request_count(), forwarder_.listed_endpoint_count(),
                           forwarder_.avoided_endpoint_count()},
                          log().dropped_lines()) +
-         (fleet_ ? write_telemetry(fleet_->figures()) : "");
+         (fleet_ ? write_telemetry(fleet_->metrics()) : "");
 }
 
 void Sidecar::on_request(DownstreamConnection& downstream, HttpMessage request) {
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -53,8 +53,8 @@
   bool ready() const override { return serving_; }
   std::string telemetry() const override;
   void on_override() override;
-  std::string fleet() const override { return fleet_ ? fleet_->shown(part_) : ""; }
-  void on_members() override { members_changed_ = true; }
+  std::string fleet() const override { return fleet_ ? fleet_->to_json(part_) : ""; }
+  void on_members_changed() override { members_changed_ = true; }
   void look_at_shares();
   GSocket* listener_socket() override { return listener_.socket(); }
   EndpointList endpoint_list() const override;
@@ -79,7 +79,7 @@
   int unread_ = 0;  // tries in a row that its file could not be read for want of something here
   bool serving_ = false, leaving_ = false, looking_ = false, members_changed_ = false,
        has_predecessor_ = false;
-  std::optional<fleet::Fleet::Part> part_;
+  std::optional<fleet::Fleet::Share> part_;
   std::int64_t shared_list_ = -1;  // the list that its part was cut from
   Differences differences_;
   ConnectionLimiter limiter_;
--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -27,9 +27,9 @@
 
 namespace {
 
-fleet::Place read_place(element config, const SidecarConfig& assignment) {
+fleet::FleetConfig read_place(element config, const SidecarConfig& assignment) {
   if (!config.is_object()) throw Malformed("'fleet' is no object");
-  fleet::Place place;
+  fleet::FleetConfig place;
   place.name = assignment.name;
   place.listen = text(config, "listen");
   std::string_view value;
@@ -43,7 +43,7 @@
     }
   }
   place.zone = assignment.deployment.zone, place.tier = assignment.deployment.tier;
-  if (place.name.size() > fleet::kMostName) throw Malformed("'name' is too long for a fleet");
+  if (place.name.size() > fleet::kMaxNameBytes) throw Malformed("'name' is too long for a fleet");
   return place;
 }
 
--- a/src/server/sidecar_config.h
+++ b/src/server/sidecar_config.h
@@ -21,7 +21,7 @@
   std::optional<Deployment> shadow;  // other settings whose decisions are only counted
   EndpointList known;
   DiscoveryMode discovery_mode = DiscoveryMode::Pushed;
-  std::optional<fleet::Place> fleet;  // none: it talks to no other instance
+  std::optional<fleet::FleetConfig> fleet;  // none: it talks to no other instance
 };
 
 // The file could not be read for want of something on this machine, and may be a little later.
--- a/tests/integration/fleet_processes.cpp
+++ b/tests/integration/fleet_processes.cpp
@@ -200,7 +200,7 @@
     for (int i = 0; i < 8; ++i) {
       MembershipUpdate update;
       update.member.name = "x" + std::to_string(i), update.member.address = "127.0.0.1:1",
-      update.member.version.life = 1;
+      update.member.version.generation = 1;
       update.state = fleet::MemberState::Dead;
       message.updates.push_back(update);
     }
--- a/tests/integration/fleet_relay.h
+++ b/tests/integration/fleet_relay.h
@@ -117,8 +117,8 @@
     int asked = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     for (int one : {asker, asked}) setsockopt(one, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
     std::string asks = frame(asker), answers;
-    Fault fault;
-    auto state = asks.size() > 4 ? decode(std::string_view(asks).substr(4), key, fault) : std::nullopt;
+    DecodeError error;
+    auto state = asks.size() > 4 ? decode(std::string_view(asks).substr(4), key, error) : std::nullopt;
     Links links = this->links();
     int from = state ? std::atoi(state->from.c_str() + 1) : -1;
     sockaddr_in at = address_of(own(to));
