--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -34,21 +34,12 @@
   return Unusable;
 }
 
-<<<<<<< HEAD
-// Says what is wrong with it; the exit code, Good if nothing is.
-int tell(const std::string& file, const ReadResult& reading) {
-  if (!reading.found) return unreadable(file);
-  if (reading.diagnostics.empty()) return Good;
-  std::cerr << language::to_text(reading.diagnostics, reading.sources);
-  return Bad;
-=======
 // Prints the messages about a site. Returns the exit code: Success if there are none.
-int print_messages(const std::string& file, const Reading& reading) {
+int print_messages(const std::string& file, const ReadResult& reading) {
   if (!reading.found) return report_unreadable(file);
-  if (reading.messages.none()) return Success;
-  std::cerr << language::shown(reading.messages, reading.sources);
+  if (reading.diagnostics.empty()) return Success;
+  std::cerr << language::to_text(reading.diagnostics, reading.sources);
   return Negative;
->>>>>>> join
 }
 
 int check(const std::vector<std::string>& files, bool as_json) {
@@ -61,16 +52,10 @@
       worst = std::max(worst, print_messages(file, reading));
       continue;
     }
-<<<<<<< HEAD
-    worst = std::max<int>(worst, reading.diagnostics.empty() ? Good : Bad);
+    worst = std::max<int>(worst, reading.diagnostics.empty() ? Success : Negative);
     json one = {{"file", file},
                 {"messages", json::parse(language::to_json(reading.diagnostics, reading.sources))}};
     if (reading.diagnostics.empty()) one["version"] = site::version(reading.site);
-=======
-    worst = std::max<int>(worst, reading.messages.none() ? Success : Negative);
-    json one = {{"file", file}, {"messages", json::parse(language::json(reading.messages, reading.sources))}};
-    if (reading.messages.none()) one["version"] = site::version(reading.site);
->>>>>>> join
     all.push_back(std::move(one));
   }
   if (as_json) std::cout << dump(all) << "\n";
@@ -112,33 +97,18 @@
     language::Diagnostics messages;
     int number = sources.add(file, std::move(*text));
     language::Tree tree = language::parse(number, sources.text(number), messages);
-<<<<<<< HEAD
     if (!messages.empty()) {
       std::cerr << language::to_text(messages, sources);
-      worst = std::max<int>(worst, Bad);
-      continue;
-    }
-    std::string formatted = language::format(tree);
-    // Cheap beside a file that says something else than it did.
-    language::Diagnostics again;
-    language::Tree back = language::parse(number, formatted, again);
-    if (!again.empty() || !language::is_equivalent(tree, back)) {
-      std::cerr << "puffinvane: " << file << ": its layout can't be kept; it stays as it is\n";
-      worst = Useless;
-=======
-    if (!messages.none()) {
-      std::cerr << language::shown(messages, sources);
       worst = std::max<int>(worst, Negative);
       continue;
     }
     std::string formatted = language::format(tree);
     // Checks that the formatted text has the same meaning, as a file must never change its meaning here.
-    language::Messages new_messages;
+    language::Diagnostics new_messages;
     language::Tree new_tree = language::parse(number, formatted, new_messages);
-    if (!new_messages.none() || !language::same_meaning(tree, new_tree)) {
+    if (!new_messages.empty() || !language::is_equivalent(tree, new_tree)) {
       std::cerr << "puffinvane: " << file << ": formatting would change its meaning; the file is unchanged\n";
       worst = Unusable;
->>>>>>> join
     } else if (!in_place) {
       std::cout << formatted;
     } else if (formatted != sources.text(number) && !replace_file(file, formatted)) {
@@ -150,18 +120,11 @@
 }
 
 int diff(const std::string& before, const std::string& after, bool as_json) {
-<<<<<<< HEAD
   language::DiskFileSource disk;
-  ReadResult was = language::read_site(before, disk), is = language::read_site(after, disk);
-  if (tell(before, was) + tell(after, is) != Good) return Useless;
-  std::vector<site::Difference> all = site::differences(was.site, is.site);
-=======
-  language::Disk disk;
-  Reading old_site = language::read_site(before, disk);
-  Reading new_site = language::read_site(after, disk);
+  ReadResult old_site = language::read_site(before, disk);
+  ReadResult new_site = language::read_site(after, disk);
   if (print_messages(before, old_site) + print_messages(after, new_site) != Success) return Unusable;
   std::vector<site::Difference> all = site::differences(old_site.site, new_site.site);
->>>>>>> join
   constexpr const char* kKinds[] = {"added", "gone", "changed"};
   constexpr char kSigns[] = {'+', '-', '~'};
   json out = json::array();
@@ -202,17 +165,10 @@
   return !host.empty();
 }
 
-<<<<<<< HEAD
-int explain(const Asked& asked, const std::string& listener, bool as_json) {
-  language::DiskFileSource disk;
-  ReadResult reading = language::read_site(asked.file, disk);
-  if (tell(asked.file, reading) != Good) return Useless;
-=======
 int explain(const ExplainArguments& arguments, const std::string& listener, bool as_json) {
-  language::Disk disk;
-  Reading reading = language::read_site(arguments.file, disk);
+  language::DiskFileSource disk;
+  ReadResult reading = language::read_site(arguments.file, disk);
   if (print_messages(arguments.file, reading) != Success) return Unusable;
->>>>>>> join
   std::string host, target;
   if (!split_url(arguments.url, host, target)) {
     std::cerr << "puffinvane: `" << arguments.url << "` is not a URL: expected http://host/path, or /path\n";
--- a/src/server/server.cpp
+++ b/src/server/server.cpp
@@ -392,22 +392,14 @@
                          json_log ? LogFormat::Json : LogFormat::Plain);
   Log& log = process_log.log();
   auto read = [file, &log](std::string& why) -> std::optional<site::Site> {
-<<<<<<< HEAD
     language::DiskFileSource disk;
     language::ReadResult reading = language::read_site(file, disk);
-    if (!reading.found) return why = file + ": can't be read", std::nullopt;
-    if (reading.diagnostics.empty()) return std::move(reading.site);
-    for (const language::Diagnostic& message : reading.diagnostics.sorted()) {
-=======
-    language::Disk disk;
-    language::Reading reading = language::read_site(file, disk);
     if (!reading.found) {
       why = file + ": can't be read";
       return std::nullopt;
     }
-    if (reading.messages.none()) return std::move(reading.site);
-    for (const language::Message& message : reading.messages.in_order()) {
->>>>>>> join
+    if (reading.diagnostics.empty()) return std::move(reading.site);
+    for (const language::Diagnostic& message : reading.diagnostics.sorted()) {
       log.event(Level::Error, "site.fault")
           .with("file", reading.sources.path(message.location.file))
           .with("line", message.location.line)
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -89,13 +89,9 @@
     return loop().at(loop().now() + kListenRetryInterval, alive_.guard([this] { try_listeners(); }));
   }
   if (fleet_) {
-    has_predecessor_ ? fleet_->open_in_turn() : fleet_->open();
+    has_predecessor_ ? fleet_->open_with_retry() : fleet_->open();
     update_endpoint_shares();
   }
-<<<<<<< HEAD
-  if (fleet_) has_predecessor_ ? fleet_->open_with_retry() : fleet_->open(), look_at_shares();
-=======
->>>>>>> join
   on_listeners_open();
   if (hot_restart_) hot_restart_->on_serving();
 }
@@ -110,15 +106,9 @@
 
 void Sidecar::on_serving() {
   serving_ = true;
-<<<<<<< HEAD
   if (fleet_) fleet_->announce_serving();
-  loop().log().info() << assignment_.name << " serves tier " << assignment_.deployment.tier << " at "
-                      << assignment_.listen << ", " << assignment_.known.entries.size() << " endpoints known";
-=======
-  if (fleet_) fleet_->serving();
   loop().log().info() << config_.name << " serves tier " << config_.deployment.tier << " at "
                       << config_.listen << ", " << config_.known.entries.size() << " endpoints known";
->>>>>>> join
 }
 
 void Sidecar::reload_settings() {
@@ -154,15 +144,9 @@
 }
 
 void Sidecar::on_draining(double deadline_s) {
-<<<<<<< HEAD
-  loop().log().info() << assignment_.name << " leaves";
-  leaving_ = true;
-  if (fleet_) has_successor() ? fleet_->close_without_departing() : fleet_->announce_leaving();
-=======
   loop().log().info() << config_.name << " is draining";
   draining_ = true;
-  if (fleet_) has_successor() ? fleet_->let_go() : fleet_->leaving();
->>>>>>> join
+  if (fleet_) has_successor() ? fleet_->close_without_departing() : fleet_->announce_leaving();
   forwarder_.begin_shutdown(deadline_s);
 }
 
@@ -217,21 +201,11 @@
   });
 }
 
-<<<<<<< HEAD
-void Sidecar::look_at_drain() {
-  operations_.pass_time(loop().now());
-  // Nobody comes to it: its part of the endpoints is the others'.
-  if (fleet_ && serving_ && !leaving_)
-    operations_.drains() ? fleet_->announce_leaving() : fleet_->announce_serving();
-  if (operations_.closes_idle()) downstream_.close_idle(kFresh);
-  if (looking_ || !operations_.drains()) return;
-  looking_ = true;
-  loop().at(loop().now() + kDrainLook, alive_.guard([this] { looking_ = false, look_at_drain(); }));
-=======
 void Sidecar::update_drain() {
   overrides_.advance(loop().now());
   // A draining instance gets no new clients, so its share of the endpoints goes to the other members.
-  if (fleet_ && serving_ && !draining_) overrides_.is_draining() ? fleet_->leaving() : fleet_->serving();
+  if (fleet_ && serving_ && !draining_)
+    overrides_.is_draining() ? fleet_->announce_leaving() : fleet_->announce_serving();
   if (overrides_.closes_idle_connections()) downstream_.close_idle(kMinIdleAge);
   if (drain_update_scheduled_ || !overrides_.is_draining()) return;
   drain_update_scheduled_ = true;
@@ -239,7 +213,6 @@
     drain_update_scheduled_ = false;
     update_drain();
   }));
->>>>>>> join
 }
 
 // Runs at an interval, so that several membership changes that arrive together cause one update.
@@ -247,14 +220,9 @@
   loop().at(loop().now() + kShareUpdateInterval, alive_.guard([this] { update_endpoint_shares(); }));
   if (draining_ || (!members_changed_ && shared_list_index_ == forwarder_.list_index())) return;
   EndpointList list = forwarder_.endpoint_list();
-<<<<<<< HEAD
-  members_changed_ = false, shared_list_ = list.index;
-  std::vector<fleet::Participant> endpoints;
-=======
   members_changed_ = false;
   shared_list_index_ = list.index;
-  std::vector<fleet::Sharer> endpoints;
->>>>>>> join
+  std::vector<fleet::Participant> endpoints;
   for (const ListEntry& entry : list.entries) {
     if (entry.state == ListedState::Ready) endpoints.push_back({entry.endpoint, entry.weight});
   }
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -56,16 +56,10 @@
   bool is_ready() const override { return serving_; }
   std::string metrics() const override;
   void on_override() override;
-<<<<<<< HEAD
-  std::string fleet() const override { return fleet_ ? fleet_->to_json(part_) : ""; }
+  std::string fleet_json() const override { return fleet_ ? fleet_->to_json(part_) : ""; }
   void on_members_changed() override { members_changed_ = true; }
-  void look_at_shares();
-=======
-  std::string fleet_json() const override { return fleet_ ? fleet_->shown(part_) : ""; }
-  void on_members() override { members_changed_ = true; }
   // Divides the listed endpoints among the members of the fleet; checks for changes at an interval.
   void update_endpoint_shares();
->>>>>>> join
   GSocket* listener_socket() override { return listener_.socket(); }
   EndpointList endpoint_list() const override;
   OperatorOverrides operator_overrides() const override {
@@ -87,22 +81,14 @@
   SidecarConfig config_;
   const std::string config_path_;
   double started_ = 0;
-<<<<<<< HEAD
-  int unread_ = 0;  // tries in a row that its file could not be read for want of something here
-  bool serving_ = false, leaving_ = false, looking_ = false, members_changed_ = false,
-       has_predecessor_ = false;
-  std::optional<fleet::Fleet::Share> part_;
-  std::int64_t shared_list_ = -1;  // the list that its part was cut from
-=======
   int failed_reads_ = 0;  // consecutive reloads that failed for lack of a local resource
   bool serving_ = false;
   bool draining_ = false;
   bool drain_update_scheduled_ = false;
   bool members_changed_ = false;  // since the endpoints were divided last
   bool has_predecessor_ = false;
-  std::optional<fleet::Fleet::Part> part_;
+  std::optional<fleet::Fleet::Share> part_;
   std::int64_t shared_list_index_ = -1;  // the endpoint list that part_ was computed from
->>>>>>> join
   Differences differences_;
   ConnectionLimiter limiter_;
   RequestForwarder forwarder_;
--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -28,19 +28,11 @@
 
 namespace {
 
-<<<<<<< HEAD
-fleet::FleetConfig read_place(element config, const SidecarConfig& assignment) {
-  if (!config.is_object()) throw Malformed("'fleet' is no object");
-  fleet::FleetConfig place;
-  place.name = assignment.name;
-  place.listen = text(config, "listen");
-=======
-fleet::Place read_place(element config, const SidecarConfig& sidecar) {
+fleet::FleetConfig read_place(element config, const SidecarConfig& sidecar) {
   if (!config.is_object()) throw Malformed("'fleet' is not an object");
-  fleet::Place place;
+  fleet::FleetConfig place;
   place.name = sidecar.name;
   place.listen = required_text(config, "listen");
->>>>>>> join
   std::string_view value;
   if (!config["advertise"].get(value)) place.advertise = value;
   if (!config["key"].get(value)) place.key = value;
@@ -51,14 +43,9 @@
       place.seeds.emplace_back(value);
     }
   }
-<<<<<<< HEAD
-  place.zone = assignment.deployment.zone, place.tier = assignment.deployment.tier;
-  if (place.name.size() > fleet::kMaxNameBytes) throw Malformed("'name' is too long for a fleet");
-=======
   place.zone = sidecar.deployment.zone;
   place.tier = sidecar.deployment.tier;
-  if (place.name.size() > fleet::kMostName) throw Malformed("'name' is too long for a member of a fleet");
->>>>>>> join
+  if (place.name.size() > fleet::kMaxNameBytes) throw Malformed("'name' is too long for a member of a fleet");
   return place;
 }
 
