--- a/src/server/sidecar_config.h
+++ b/src/server/sidecar_config.h
@@ -23,7 +23,7 @@
   std::optional<Deployment> shadow;  // settings of the shadow policy
   EndpointList known;                // endpoints to use until discovery has answered
   DiscoveryMode discovery_mode = DiscoveryMode::Pushed;
-  std::optional<fleet::Place> fleet;  // none: it is not part of a fleet
+  std::optional<fleet::FleetConfig> fleet;  // none: it is not part of a fleet
 };
 
 // The file could not be read for lack of a resource on this machine; a later try may succeed.
