--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -28,9 +28,9 @@
 
 namespace {
 
-fleet::Place read_place(element config, const SidecarConfig& sidecar) {
+fleet::FleetConfig read_place(element config, const SidecarConfig& sidecar) {
   if (!config.is_object()) throw Malformed("'fleet' is not an object");
-  fleet::Place place;
+  fleet::FleetConfig place;
   place.name = sidecar.name;
   place.listen = required_text(config, "listen");
   std::string_view value;
@@ -45,7 +45,7 @@
   }
   place.zone = sidecar.deployment.zone;
   place.tier = sidecar.deployment.tier;
-  if (place.name.size() > fleet::kMostName) throw Malformed("'name' is too long for a member of a fleet");
+  if (place.name.size() > fleet::kMaxNameBytes) throw Malformed("'name' is too long for a member of a fleet");
   return place;
 }
 
