--- a/src/admin/telemetry.h
+++ b/src/admin/telemetry.h
@@ -22,6 +22,6 @@
 std::string write_telemetry(const std::vector<RequestClass>& request_classes, const RequestCounters& counters,
                             const CurrentCounts& current, std::uint64_t dropped_log_lines);
 
-std::string write_telemetry(const std::vector<fleet::Fleet::Figure>& figures);
+std::string write_telemetry(const std::vector<fleet::Fleet::Metric>& figures);
 
 }  // namespace puffinvane
--- a/src/cli/cli.cpp
+++ b/src/cli/cli.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 namespace fs = std::filesystem;
-using language::Reading;
+using language::ReadResult;
 using nlohmann::json;
 
 // The exit codes: see cli.h.
@@ -35,10 +35,10 @@
 }
 
 // Prints the messages about a site. Returns the exit code: Success if there are none.
-int print_messages(const std::string& file, const Reading& reading) {
+int print_messages(const std::string& file, const ReadResult& reading) {
   if (!reading.found) return report_unreadable(file);
-  if (reading.messages.none()) return Success;
-  std::cerr << language::shown(reading.messages, reading.sources);
+  if (reading.diagnostics.empty()) return Success;
+  std::cerr << language::to_text(reading.diagnostics, reading.sources);
   return Negative;
 }
 
@@ -46,15 +46,16 @@
   int worst = Success;
   json all = json::array();
   for (const std::string& file : files) {
-    language::Disk disk;
-    Reading reading = language::read_site(file, disk);
+    language::DiskFileSource disk;
+    ReadResult reading = language::read_site(file, disk);
     if (!as_json || !reading.found) {
       worst = std::max(worst, print_messages(file, reading));
       continue;
     }
-    worst = std::max<int>(worst, reading.messages.none() ? Success : Negative);
-    json one = {{"file", file}, {"messages", json::parse(language::json(reading.messages, reading.sources))}};
-    if (reading.messages.none()) one["version"] = site::version(reading.site);
+    worst = std::max<int>(worst, reading.diagnostics.empty() ? Success : Negative);
+    json one = {{"file", file},
+                {"messages", json::parse(language::to_json(reading.diagnostics, reading.sources))}};
+    if (reading.diagnostics.empty()) one["version"] = site::version(reading.site);
     all.push_back(std::move(one));
   }
   if (as_json) std::cout << dump(all) << "\n";
@@ -86,26 +87,26 @@
 int format(const std::vector<std::string>& files, bool in_place) {
   int worst = Success;
   for (const std::string& file : files) {
-    language::Disk disk;
+    language::DiskFileSource disk;
     std::optional<std::string> text = disk.read(file);
     if (!text) {
       worst = report_unreadable(file);
       continue;
     }
     language::Sources sources;
-    language::Messages messages;
+    language::Diagnostics messages;
     int number = sources.add(file, std::move(*text));
     language::Tree tree = language::parse(number, sources.text(number), messages);
-    if (!messages.none()) {
-      std::cerr << language::shown(messages, sources);
+    if (!messages.empty()) {
+      std::cerr << language::to_text(messages, sources);
       worst = std::max<int>(worst, Negative);
       continue;
     }
     std::string formatted = language::format(tree);
     // Checks that the formatted text has the same meaning, as a file must never change its meaning here.
-    language::Messages new_messages;
+    language::Diagnostics new_messages;
     language::Tree new_tree = language::parse(number, formatted, new_messages);
-    if (!new_messages.none() || !language::same_meaning(tree, new_tree)) {
+    if (!new_messages.empty() || !language::is_equivalent(tree, new_tree)) {
       std::cerr << "puffinvane: " << file << ": formatting would change its meaning; the file is unchanged\n";
       worst = Unusable;
     } else if (!in_place) {
@@ -119,9 +120,9 @@
 }
 
 int diff(const std::string& before, const std::string& after, bool as_json) {
-  language::Disk disk;
-  Reading old_site = language::read_site(before, disk);
-  Reading new_site = language::read_site(after, disk);
+  language::DiskFileSource disk;
+  ReadResult old_site = language::read_site(before, disk);
+  ReadResult new_site = language::read_site(after, disk);
   if (print_messages(before, old_site) + print_messages(after, new_site) != Success) return Unusable;
   std::vector<site::Difference> all = site::differences(old_site.site, new_site.site);
   constexpr const char* kKinds[] = {"added", "gone", "changed"};
@@ -165,8 +166,8 @@
 }
 
 int explain(const ExplainArguments& arguments, const std::string& listener, bool as_json) {
-  language::Disk disk;
-  Reading reading = language::read_site(arguments.file, disk);
+  language::DiskFileSource disk;
+  ReadResult reading = language::read_site(arguments.file, disk);
   if (print_messages(arguments.file, reading) != Success) return Unusable;
   std::string host, target;
   if (!split_url(arguments.url, host, target)) {
@@ -183,7 +184,7 @@
     std::string_view value = std::string_view(header).substr(colon + 1);
     value.remove_prefix(std::min(value.find_first_not_of(' '), value.size()));
     fields.push_back({std::string_view(header).substr(0, colon), value});
-    if (host.empty() && language::lower(fields.back().name) == "host") host = value;
+    if (host.empty() && language::to_lower(fields.back().name) == "host") host = value;
   }
   auto site = std::make_shared<const site::Site>(std::move(reading.site));
   std::string on = listener.empty() ? site->listeners.front().name : listener;
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -60,7 +60,7 @@
   if (config_.admin.empty()) return;
   has_predecessor_ = takeover_.predecessor != nullptr;
   if (has_predecessor_) limiter_.share_limits(true);
-  hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_path(config_.listen),
+  hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_socket_path(config_.listen),
                        std::move(takeover_.predecessor));
   admin_.emplace(loop, limiter_, overrides_, static_cast<AdminApi::Owner&>(*this));
 }
@@ -89,7 +89,7 @@
     return loop().at(loop().now() + kListenRetryInterval, alive_.guard([this] { try_listeners(); }));
   }
   if (fleet_) {
-    has_predecessor_ ? fleet_->open_in_turn() : fleet_->open();
+    has_predecessor_ ? fleet_->open_with_retry() : fleet_->open();
     update_endpoint_shares();
   }
   on_listeners_open();
@@ -106,7 +106,7 @@
 
 void Sidecar::on_serving() {
   serving_ = true;
-  if (fleet_) fleet_->serving();
+  if (fleet_) fleet_->announce_serving();
   loop().log().info() << config_.name << " serves tier " << config_.deployment.tier << " at "
                       << config_.listen << ", " << config_.known.entries.size() << " endpoints known";
 }
@@ -146,7 +146,7 @@
 void Sidecar::on_draining(double deadline_s) {
   loop().log().info() << config_.name << " is draining";
   draining_ = true;
-  if (fleet_) has_successor() ? fleet_->let_go() : fleet_->leaving();
+  if (fleet_) has_successor() ? fleet_->close_without_departing() : fleet_->announce_leaving();
   forwarder_.begin_shutdown(deadline_s);
 }
 
@@ -204,7 +204,8 @@
 void Sidecar::update_drain() {
   overrides_.advance(loop().now());
   // A draining instance gets no new clients, so its share of the endpoints goes to the other members.
-  if (fleet_ && serving_ && !draining_) overrides_.is_draining() ? fleet_->leaving() : fleet_->serving();
+  if (fleet_ && serving_ && !draining_)
+    overrides_.is_draining() ? fleet_->announce_leaving() : fleet_->announce_serving();
   if (overrides_.closes_idle_connections()) downstream_.close_idle(kMinIdleAge);
   if (drain_update_scheduled_ || !overrides_.is_draining()) return;
   drain_update_scheduled_ = true;
@@ -221,13 +222,13 @@
   EndpointList list = forwarder_.endpoint_list();
   members_changed_ = false;
   shared_list_index_ = list.index;
-  std::vector<fleet::Sharer> endpoints;
+  std::vector<fleet::Participant> endpoints;
   for (const ListEntry& entry : list.entries) {
     if (entry.state == ListedState::Ready) endpoints.push_back({entry.endpoint, entry.weight});
   }
-  part_ = fleet_->part(endpoints);
-  if (part_ && !part_->endpoints.empty())
-    forwarder_.set_endpoint_shares(part_->endpoints, part_->place, part_->sidecars);
+  part_ = fleet_->own_share(endpoints);
+  if (part_ && !part_->own_weights.empty())
+    forwarder_.set_endpoint_shares(part_->own_weights, part_->instance_index, part_->instance_count);
 }
 
 std::string Sidecar::metrics() const {
@@ -235,7 +236,7 @@
                          {forwarder_.active_request_count(), forwarder_.listed_endpoint_count(),
                           forwarder_.avoided_endpoint_count()},
                          log().dropped_lines()) +
-         (fleet_ ? write_telemetry(fleet_->figures()) : "");
+         (fleet_ ? write_telemetry(fleet_->metrics()) : "");
 }
 
 void Sidecar::on_request(DownstreamConnection& downstream, HttpMessage request) {
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -56,8 +56,8 @@
   bool is_ready() const override { return serving_; }
   std::string metrics() const override;
   void on_override() override;
-  std::string fleet_json() const override { return fleet_ ? fleet_->shown(part_) : ""; }
-  void on_members() override { members_changed_ = true; }
+  std::string fleet_json() const override { return fleet_ ? fleet_->to_json(part_) : ""; }
+  void on_members_changed() override { members_changed_ = true; }
   // Divides the listed endpoints among the members of the fleet; checks for changes at an interval.
   void update_endpoint_shares();
   GSocket* listener_socket() override { return listener_.socket(); }
@@ -87,14 +87,14 @@
   bool drain_update_scheduled_ = false;
   bool members_changed_ = false;  // since the endpoints were divided last
   bool has_predecessor_ = false;
-  std::optional<fleet::Fleet::Part> part_;
+  std::optional<fleet::Fleet::Share> part_;
   std::int64_t shared_list_index_ = -1;  // the endpoint list that part_ was computed from
   Differences differences_;
   ConnectionLimiter limiter_;
   RequestForwarder forwarder_;
   DownstreamConnections downstream_;
   Listener listener_;
-  EndpointStarts starts_;
+  EndpointStartTimes starts_;
   DiscoveryWatch watch_;
   OverrideController overrides_;
   Takeover takeover_;
--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -28,9 +28,9 @@
 
 namespace {
 
-fleet::Place read_place(element config, const SidecarConfig& sidecar) {
+fleet::FleetConfig read_place(element config, const SidecarConfig& sidecar) {
   if (!config.is_object()) throw Malformed("'fleet' is not an object");
-  fleet::Place place;
+  fleet::FleetConfig place;
   place.name = sidecar.name;
   place.listen = required_text(config, "listen");
   std::string_view value;
@@ -45,7 +45,7 @@
   }
   place.zone = sidecar.deployment.zone;
   place.tier = sidecar.deployment.tier;
-  if (place.name.size() > fleet::kMostName) throw Malformed("'name' is too long for a member of a fleet");
+  if (place.name.size() > fleet::kMaxNameBytes) throw Malformed("'name' is too long for a member of a fleet");
   return place;
 }
 
@@ -88,7 +88,7 @@
   }
   element fleet;
   if (!config["fleet"].get(fleet)) read.fleet = read_place(fleet, read);
-  if (!config["known"].get(known)) read.known = read_endpoint_list(known);
+  if (!config["known"].get(known)) read.known = parse_endpoint_list_or_throw(known);
   if (!config["limits"].get(limits)) {
     double number = 0;
     if (!limits["sockets"].get(number) && number > 0) read.descriptors = int(number);
--- a/tests/integration/fleet_relay.h
+++ b/tests/integration/fleet_relay.h
@@ -24,8 +24,10 @@
     double loss = 0, twice = 0, spoilt = 0, delay = 0, jitter = 0;
     std::function<bool(int from, int to)> cut;  // none: nothing is
   };
-  static std::string advertised(int member) { return here(200) + ":" + std::to_string(7000 + member); }
-  static std::string own(int member) { return here(201) + ":" + std::to_string(7000 + member); }
+  static std::string advertised(int member) {
+    return loopback_address(200) + ":" + std::to_string(7000 + member);
+  }
+  static std::string own(int member) { return loopback_address(201) + ":" + std::to_string(7000 + member); }
 
   Relay(int members, unsigned seed) : chance_(seed) {
     for (int i = 0; i < members; ++i) {
@@ -117,8 +119,8 @@
     int asked = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     for (int one : {asker, asked}) setsockopt(one, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
     std::string asks = frame(asker), answers;
-    Fault fault;
-    auto state = asks.size() > 4 ? decode(std::string_view(asks).substr(4), key, fault) : std::nullopt;
+    DecodeError error;
+    auto state = asks.size() > 4 ? decode(std::string_view(asks).substr(4), key, error) : std::nullopt;
     Links links = this->links();
     int from = state ? std::atoi(state->from.c_str() + 1) : -1;
     sockaddr_in at = address_of(own(to));
