--- a/tools/load_test/baselines/baselines.cpp
+++ b/tools/load_test/baselines/baselines.cpp
@@ -150,7 +150,8 @@
     }
     if (open.empty()) return give_up(id);
     Endpoint& endpoint = endpoints_[choice_->among(endpoints_, open)];
-    ++endpoint.out, ++request.out;
+    ++endpoint.out;
+    ++request.out;
     request.endpoints.push_back(endpoint.name);
     host_.start_attempt(id, endpoint.name, 0);
   }
--- a/tools/load_test/cost/cost.cpp
+++ b/tools/load_test/cost/cost.cpp
@@ -137,7 +137,8 @@
     Histogram part;
     part.set(measured["steps"].get<std::vector<std::uint64_t>>());
     sum.latency.add(part);
-    sum.good += measured["good"].get<std::uint64_t>(), sum.other += measured["other"].get<std::uint64_t>();
+    sum.good += measured["good"].get<std::uint64_t>();
+    sum.other += measured["other"].get<std::uint64_t>();
     sum.broken += measured["broken"].get<std::uint64_t>();
     sum.seconds = std::max(sum.seconds, measured["seconds"].get<double>());
   }
@@ -181,9 +182,13 @@
     sidecar_ = std::make_unique<Process>(world_, *this, 0, 0, plan.command, folder_);
     SidecarConfig assignment;
     at_ = {host, 11001};
-    assignment.name = "cost", assignment.listen = at_.text(), assignment.discovery = agent_->address().text();
-    assignment.known = agent_->known_json(), assignment.settings = settings_json(scenario_, 0, 0, 1);
-    assignment.descriptors = scenario_.descriptors, assignment.memory_mb = 512;
+    assignment.name = "cost";
+    assignment.listen = at_.text();
+    assignment.discovery = agent_->address().text();
+    assignment.known = agent_->known_json();
+    assignment.settings = settings_json(scenario_, 0, 0, 1);
+    assignment.descriptors = scenario_.descriptors;
+    assignment.memory_mb = 512;
     if (plan.site) {
       scenario_.memory_mb = 512;
       assignment.site =
@@ -220,8 +225,10 @@
     scenario.tiers[0].calls = 0;
     scenario.clients.rate = 1e6;
     scenario.descriptors = 4 * row.connections + 2 * row.endpoints + 200;
-    for (ClassPlan& request_class : scenario.request_classes)
-      request_class.latency_objective = 1, request_class.client_timeout = 3;
+    for (ClassPlan& request_class : scenario.request_classes) {
+      request_class.latency_objective = 1;
+      request_class.client_timeout = 3;
+    }
     return scenario;
   }
   pid_t process() const { return sidecar_->process(); }
@@ -275,18 +282,22 @@
     for (int i = 0; i < plan.pairs; ++i) {
       Bench bench(plan, row);
       LoadPlan load;
-      load.connections = row.connections, load.seconds = plan.seconds, load.rate = row.rate;
+      load.connections = row.connections;
+      load.seconds = plan.seconds;
+      load.rate = row.rate;
       Usage before, after;
       Loaded through = bench.through(load, before, after), direct = bench.direct(load);
       double warm = (load.seconds + load.warm_up) / load.seconds;  // the CPU of the warm-up's requests too
-      rate.push_back(double(through.good) / through.seconds),
-          direct_rate.push_back(double(direct.good) / direct.seconds);
+      rate.push_back(double(through.good) / through.seconds);
+      direct_rate.push_back(double(direct.good) / direct.seconds);
       cpu.push_back((after.cpu - before.cpu) * 1e6 / std::max(1.0, double(through.latency.count()) * warm));
       auto pair = [&](double share, std::vector<double>& at, std::vector<double>& ratio) {
         at.push_back(through.latency.at(share) * 1e3);
         ratio.push_back(through.latency.at(share) / std::max(1e-9, direct.latency.at(share)));
       };
-      pair(0.5, p50, r50), pair(0.99, p99, r99), pair(0.999, p999, r999);
+      pair(0.5, p50, r50);
+      pair(0.99, p99, r99);
+      pair(0.999, p999, r999);
       memory.push_back(after.memory / 1048576);
       other += through.other + through.broken;
     }
@@ -304,8 +315,14 @@
                     {"memory_mb", memory},
                     {"not_200", other}});
     if (row.after == 0 && row.rate == 0 && row.endpoints == 3) {
-      if (!fewest || row.connections < fewest) fewest = row.connections, least_memory = memory.front();
-      if (row.connections > most) most = row.connections, most_memory = memory.front();
+      if (!fewest || row.connections < fewest) {
+        fewest = row.connections;
+        least_memory = memory.front();
+      }
+      if (row.connections > most) {
+        most = row.connections;
+        most_memory = memory.front();
+      }
     }
   }
   if (most > fewest)
--- a/tools/load_test/cost/load.cpp
+++ b/tools/load_test/cost/load.cpp
@@ -44,7 +44,8 @@
       load_.free(*this);
     }
     void carry(double due) {
-      due_ = due, busy_ = true;
+      due_ = due;
+      busy_ = true;
       char head[256];
       int size = std::snprintf(head, sizeof head,
                                "GET %s HTTP/1.1\r\nHost: origin\r\nX-Correlation-Id: l%llx\r\n\r\n",
@@ -55,11 +56,17 @@
    private:
     void on_bytes(Line&, std::string_view bytes) override {
       reader_.feed(bytes);
-      if (reader_.bad()) return line_.close(), fail();
+      if (reader_.bad()) {
+        line_.close();
+        return fail();
+      }
       if (!reader_.whole()) return;
       Message answer = reader_.take();
       if (std::exchange(busy_, false)) load_.answered(due_, answer.status);
-      if (answer.close) return line_.close(), connect();
+      if (answer.close) {
+        line_.close();
+        return connect();
+      }
       load_.free(*this);
     }
     void on_end(Line&, bool) override { fail(); }
@@ -120,7 +127,8 @@
   double doublings = std::log2(std::max(1.0, seconds * 1e6));
   auto step = std::size_t(doublings * kStep);
   if (steps_.size() <= step) steps_.resize(step + 1);
-  ++steps_[step], ++count_;
+  ++steps_[step];
+  ++count_;
 }
 
 void Histogram::add(const Histogram& other) {
--- a/tools/load_test/example_upstreams.cpp
+++ b/tools/load_test/example_upstreams.cpp
@@ -10,7 +10,9 @@
 void serve_example_upstreams() {
   Scenario scenario = default_scenario();
   TierPlan examples;
-  examples.name = "toy", examples.speed = {1, 1}, examples.groups = 1;
+  examples.name = "toy";
+  examples.speed = {1, 1};
+  examples.groups = 1;
   scenario.tiers = {examples};
   for (ClassPlan& request_class : scenario.request_classes) request_class.client_timeout = 3;
   class Nobody final : public Observer {
@@ -24,7 +26,8 @@
   std::vector<Listed> list;
   for (int i = 0; i < 3; ++i) {
     Endpoint::Place place;
-    place.group = 1, place.listeners = {{0, Address{"127.0.0.1", 6000 + i}}};
+    place.group = 1;
+    place.listeners = {{0, Address{"127.0.0.1", 6000 + i}}};
     std::string name = "toy-" + std::to_string(i);
     endpoints.push_back(std::make_unique<Endpoint>(world, place, i, name, 0.5, memory, nullptr));
     endpoints.back()->start(false);
--- a/tools/load_test/faulty_proxy.cpp
+++ b/tools/load_test/faulty_proxy.cpp
@@ -57,7 +57,8 @@
   Caller(FaultyProxy& proxy, int descriptor);
   void answer(int status, const std::string& body) {
     Message message;
-    message.status = status, message.body = body;
+    message.status = status;
+    message.body = body;
     line.send(write(message));
   }
   Line line;
@@ -198,8 +199,11 @@
     listed.insert(name);
     if (status != "active" && !targets_.contains(name)) continue;
     Target& target = targets_[name];
-    target.name = name, target.address = entry.at("address"), target.group = entry.at("group");
-    target.ready = status == "active", target.since = entry.at("since_ms").get<double>() / 1000;
+    target.name = name;
+    target.address = entry.at("address");
+    target.group = entry.at("group");
+    target.ready = status == "active";
+    target.since = entry.at("since_ms").get<double>() / 1000;
   }
   if (!list.at("snapshot").get<bool>()) return;
   for (auto& [name, target] : targets_) target.ready = target.ready && listed.contains(name);
@@ -229,9 +233,11 @@
   double left = std::atof(std::string(message.header("X-Time-Left")).c_str()) * 1e-6;
   request->deadline =
       loop.now() + (left > 0 ? std::min(left, request_class->second.timeout) : request_class->second.timeout);
-  request->kind = request_class->second.kind, request->memory = request_class->second.memory;
+  request->kind = request_class->second.kind;
+  request->memory = request_class->second.memory;
   request->message = std::move(message);
-  request->caller = &caller, request->number = ++requests_;
+  request->caller = &caller;
+  request->number = ++requests_;
   caller.request = request;
   bool falls = request->number % kOneIn == 0;
   if (falls && vice("loses-one")) {
--- a/tools/load_test/invariants/invariant_checker.cpp
+++ b/tools/load_test/invariants/invariant_checker.cpp
@@ -93,7 +93,9 @@
 
 void InvariantChecker::offered(const Event& event, Request& request) {
   request.offered = event.at;
-  request.request_class = event.request_class, request.key = event.key, request.sidecar = event.sidecar;
+  request.request_class = event.request_class;
+  request.key = event.key;
+  request.sidecar = event.sidecar;
   request.waits = event.figure;
   request.excused = request.overdue = false;
   waiting_.emplace(event.at + event.figure + bounds_.slack, event.request);
@@ -156,7 +158,10 @@
 }
 
 void InvariantChecker::begun(const Event& event, Request& request) {
-  if (request.request_class.empty()) request.request_class = event.request_class, request.key = event.key;
+  if (request.request_class.empty()) {
+    request.request_class = event.request_class;
+    request.key = event.key;
+  }
   const CheckedClass& request_class = class_of(request);
   for (const Attempt& earlier : request.attempts) {
     if (earlier.turned_away) continue;
@@ -244,11 +249,15 @@
   switch (event.kind) {
     case Kind::SidecarUp: sidecar.down = false; return;
     case Kind::SidecarDown:
-      sidecar.down = true, sidecar.paused.reset(), sidecar.notified.clear();
+      sidecar.down = true;
+      sidecar.paused.reset();
+      sidecar.notified.clear();
       // What a sidecar held when it was killed is its callers' to retry.
       for (auto& [id, request] : requests_) {
-        if (request.sidecar == event.sidecar && request.offered && !request.answered && !request.excused)
-          request.excused = true, close(id, request, event.at);
+        if (request.sidecar == event.sidecar && request.offered && !request.answered && !request.excused) {
+          request.excused = true;
+          close(id, request, event.at);
+        }
       }
       return;
     case Kind::SidecarCrashed:
--- a/tools/load_test/invariants/slow_start.h
+++ b/tools/load_test/invariants/slow_start.h
@@ -31,7 +31,10 @@
     while (sent_.front().first < now - bounds_.window) sent_.pop_front();
     double largest = 0;
     sum_ = 0;
-    for (const auto& [when, one] : sent_) sum_ += one, largest = std::max(largest, one);
+    for (const auto& [when, one] : sent_) {
+      sum_ += one;
+      largest = std::max(largest, one);
+    }
     return sum_ > most(now) + 2 * largest;
   }
 
--- a/tools/load_test/loop/http.cpp
+++ b/tools/load_test/loop/http.cpp
@@ -64,7 +64,8 @@
     } else if (state_ == State::Body || state_ == State::Chunk || state_ == State::ToEnd) {
       std::size_t count = state_ == State::ToEnd ? rest.size() : std::min(left_, rest.size());
       message_.body += rest.substr(0, count);
-      used += count, left_ -= state_ == State::ToEnd ? 0 : count;
+      used += count;
+      left_ -= state_ == State::ToEnd ? 0 : count;
       if (message_.body.size() > kMostBody) state_ = State::Bad;
       else if (left_ == 0 && state_ == State::Body) state_ = State::Whole;
       else if (left_ == 0 && state_ == State::Chunk) state_ = State::ChunkSize;
@@ -131,7 +132,9 @@
   if (chunked && length) return;
   head_.clear();
   if (of_ == Of::Answers && message_.status / 100 == 1) {
-    message_ = Message(), state_ = State::Head, left_ = 0;
+    message_ = Message();
+    state_ = State::Head;
+    left_ = 0;
   } else if (chunked) {
     state_ = State::ChunkSize;
   } else if (!length && of_ == Of::Answers) {
@@ -147,8 +150,10 @@
 
 Message Reader::take() {
   Message taken = std::exchange(message_, {});
-  state_ = State::Head, left_ = 0;
-  head_.clear(), line_.clear();
+  state_ = State::Head;
+  left_ = 0;
+  head_.clear();
+  line_.clear();
   return taken;
 }
 
--- a/tools/load_test/loop/line.cpp
+++ b/tools/load_test/loop/line.cpp
@@ -58,7 +58,10 @@
   no_delay(descriptor_);
   sockaddr_in address = socket_address(to);
   int done = ::connect(descriptor_, reinterpret_cast<sockaddr*>(&address), sizeof address);
-  if (done != 0 && errno != EINPROGRESS) return close(), false;
+  if (done != 0 && errno != EINPROGRESS) {
+    close();
+    return false;
+  }
   connecting_ = done != 0;
   ask();
   return true;
@@ -79,7 +82,10 @@
 
 void Line::send(std::string_view bytes) {
   if (descriptor_ < 0) return;
-  if (written()) out_.clear(), sent_ = 0;
+  if (written()) {
+    out_.clear();
+    sent_ = 0;
+  }
   out_ += bytes;
   unwritten_ = true;
   if (!connecting_ && !deaf_) flush();
@@ -89,17 +95,26 @@
   while (descriptor_ >= 0 && !written()) {
     std::size_t count = out_.size() - sent_;
     if (cut_out_) count = std::min(count, *cut_out_);
-    if (cut_out_ && count == 0) return reset(), end(true);
+    if (cut_out_ && count == 0) {
+      reset();
+      return end(true);
+    }
     ssize_t done = ::send(descriptor_, out_.data() + sent_, count, MSG_NOSIGNAL);
     if (done < 0) {
       // What the far end said before it closed is read first; the reading side then reports the end.
-      if (errno != EAGAIN) sent_ = out_.size(), unwritten_ = false;
+      if (errno != EAGAIN) {
+        sent_ = out_.size();
+        unwritten_ = false;
+      }
       break;
     }
     sent_ += std::size_t(done);
     if (cut_out_) *cut_out_ -= std::size_t(done);
   }
-  if (cut_out_ && *cut_out_ == 0) return reset(), end(true);
+  if (cut_out_ && *cut_out_ == 0) {
+    reset();
+    return end(true);
+  }
   ask();
   if (written() && std::exchange(unwritten_, false)) owner_.on_written(*this);
 }
@@ -114,7 +129,10 @@
     if (count <= 0) return end(count < 0);
     if (cut_in_) {
       *cut_in_ -= std::min(*cut_in_, std::size_t(count));
-      if (*cut_in_ == 0) return reset(), end(true);
+      if (*cut_in_ == 0) {
+        reset();
+        return end(true);
+      }
     }
     owner_.on_bytes(*this, {bytes, std::size_t(count)});
     if (std::size_t(count) < most) return;
--- a/tools/load_test/main.cpp
+++ b/tools/load_test/main.cpp
@@ -100,11 +100,16 @@
   }
   if (chosen.length > 0) plan.scenario.length = chosen.length;
   if (chosen.time_scale != 1) stretch(plan.scenario, chosen.time_scale);
-  if (chosen.show) return std::cout << write_scenario(plan.scenario), kKept;
+  if (chosen.show) {
+    std::cout << write_scenario(plan.scenario);
+    return kKept;
+  }
   if (plan.scenario.length > kRunWithin && chosen.length <= 0 && chosen.time_scale == 1)
     throw Unusable(chosen.scenario + ":1: 'length' is over " + std::to_string(int(kRunWithin)) +
                    " s; say --length to run it for that long");
-  plan.seed = chosen.seed, plan.command = command_of(chosen.sidecar), plan.label = label_of(chosen);
+  plan.seed = chosen.seed;
+  plan.command = command_of(chosen.sidecar);
+  plan.label = label_of(chosen);
   plan.keep_logs = chosen.keep;
   json result = run(plan);
   if (!chosen.json_to.empty()) write_file(chosen.json_to, result.dump(1) + "\n");
@@ -169,7 +174,8 @@
   int worst = kKept, broken = 0, unusable = 0;
   play(jobs, many.lanes, [&](Job& job) {
     worst = std::max(worst, job.exit);
-    broken += job.exit == kBroken, unusable += job.exit != kKept && job.exit != kBroken;
+    broken += job.exit == kBroken;
+    unusable += job.exit != kKept && job.exit != kBroken;
     std::cout << (job.exit == kKept     ? "kept    "
                   : job.exit == kBroken ? "BROKEN  "
                                         : "FAILED  ")
@@ -305,7 +311,10 @@
       run->add_option("--only-faults", chosen.only, "the numbers of the faults to keep")->delimiter(',');
   run->add_flag("--keep", chosen.keep, "keep the sidecars' files and logs");
   run->add_flag("--show", chosen.show, "print the script and run nothing");
-  run->callback([&] { chosen.only_given = only->count() > 0, exit = run_one(chosen); });
+  run->callback([&] {
+    chosen.only_given = only->count() > 0;
+    exit = run_one(chosen);
+  });
 
   std::vector<std::string> results;
   CLI::App* comparing =
--- a/tools/load_test/report/compare.cpp
+++ b/tools/load_test/report/compare.cpp
@@ -50,7 +50,10 @@
   Estimate made;
   made.count = int(values.size());
   for (double value : values) made.mean += value / made.count;
-  if (made.count < 2) return made.half = std::numeric_limits<double>::infinity(), made;
+  if (made.count < 2) {
+    made.half = std::numeric_limits<double>::infinity();
+    return made;
+  }
   double squares = 0;
   for (double value : values) squares += (value - made.mean) * (value - made.mean);
   made.half = student(made.count - 1) * std::sqrt(squares / (made.count - 1) / made.count);
--- a/tools/load_test/report/figures.cpp
+++ b/tools/load_test/report/figures.cpp
@@ -25,7 +25,10 @@
       return;
     }
     case Kind::TurnedAway:
-      if (first_tier(event)) ++attempts_, ++turned_away_;
+      if (first_tier(event)) {
+        ++attempts_;
+        ++turned_away_;
+      }
       return;
     case Kind::AttemptAnswered:
     case Kind::AttemptEnded: {
@@ -41,7 +44,8 @@
 void Figures::note(const Fate& fate) {
   const ClassPlan& request_class = scenario_.request_classes[std::size_t(fate.request_class)];
   ++ends_[int(fate.end)];
-  ++requests_, tries_ += fate.tries;
+  ++requests_;
+  tries_ += fate.tries;
   if (fate.end == Fate::End::Left) return;  // nobody waits for it
   double earned = 0;
   if (fate.end == Fate::End::Delivered) {
@@ -52,8 +56,10 @@
       earned = request_class.credit * request_class.late_credit;
   }
   for (Served* one : {&all_, &by_prefix_[fate.request_class], &by_customer_[fate.tenant],
-                      &by_window_[int(fate.at / scenario_.window)]})
-    one->asked += request_class.credit, one->earned += earned;
+                      &by_window_[int(fate.at / scenario_.window)]}) {
+    one->asked += request_class.credit;
+    one->earned += earned;
+  }
 }
 
 nlohmann::json Figures::json() const {
--- a/tools/load_test/report/page.cpp
+++ b/tools/load_test/report/page.cpp
@@ -134,7 +134,8 @@
   double slowest = 0.001;
   for (const json& window : result["latency_windows"]) {
     double at = window["at"].get<double>(), high = window["p99"].get<double>();
-    p50.points.emplace_back(at, window["p50"].get<double>()), p99.points.emplace_back(at, high);
+    p50.points.emplace_back(at, window["p50"].get<double>());
+    p99.points.emplace_back(at, high);
     slowest = std::max(slowest, high);
   }
   out << Plot("Latency of delivered visits by window, seconds", result, slowest).draw({p50, p99});
@@ -143,9 +144,10 @@
   if (result.contains("loads")) {
     for (const auto& [endpoint, points] : result["loads"].items()) {
       Curve curve{"endpoint " + endpoint, {}};
-      for (const json& point : points)
-        curve.points.emplace_back(point[0].get<double>(), point[1].get<double>()),
-            most = std::max(most, point[1].get<double>());
+      for (const json& point : points) {
+        curve.points.emplace_back(point[0].get<double>(), point[1].get<double>());
+        most = std::max(most, point[1].get<double>());
+      }
       loads.push_back(curve);
     }
   }
@@ -154,7 +156,8 @@
     json rows = json::array();
     for (const auto& [name, latency] : result["latency_by_prefix"].items()) {
       json row = latency;
-      row["name"] = name, row["service"] = result["service_by_prefix"].value(name, 1.0);
+      row["name"] = name;
+      row["service"] = result["service_by_prefix"].value(name, 1.0);
       rows.push_back(row);
     }
     out << "<h3>Latency of delivered visits, seconds</h3>"
--- a/tools/load_test/run.cpp
+++ b/tools/load_test/run.cpp
@@ -24,7 +24,10 @@
 class Both final : public Observer {
  public:
   Both(InvariantChecker& checker, Figures& figures) : checker_(checker), figures_(figures) {}
-  void observe(const Event& event) override { checker_.observe(event), figures_.observe(event); }
+  void observe(const Event& event) override {
+    checker_.observe(event);
+    figures_.observe(event);
+  }
 
  private:
   InvariantChecker& checker_;
@@ -91,11 +94,13 @@
     Beat check{loop, kCheckEvery, [&] { checker.advance(loop.since()); }};
     Beat look{loop, kLookEvery, [&] { fleet.look(); }};
     fleet.start();
-    check.begin(), look.begin();
+    check.begin();
+    look.begin();
     double give_up = loop.now() + kReadyWithin;
     loop.run([&] { return fleet.ready() || loop.now() > give_up || !checker.breaches().empty(); });
     double began = loop.now(), stalled = loop.stalled();
-    checker.begin(began), figures.begin(began);
+    checker.begin(began);
+    figures.begin(began);
     bool ready = fleet.ready();
     if (ready) {
       clients.begin();
@@ -149,8 +154,11 @@
                                {"served", clients.bad_served()}};
     }
   }
-  result["script"] = scenario.name, result["title"] = scenario.title, result["seed"] = plan.seed;
-  result["label"] = plan.label, result["length"] = scenario.length;
+  result["script"] = scenario.name;
+  result["title"] = scenario.title;
+  result["seed"] = plan.seed;
+  result["label"] = plan.label;
+  result["length"] = scenario.length;
   std::ostringstream hex;
   hex << std::hex << print;
   result["schedule"] = hex.str();
--- a/tools/load_test/scale/scale.cpp
+++ b/tools/load_test/scale/scale.cpp
@@ -160,7 +160,8 @@
     clients_ = std::make_unique<Clients>(loop, listen, "/" + scenario_.request_classes.front().name + "/one");
     sidecar_ = std::make_unique<Process>(world_, *this, 0, 0, plan.command, folder_);
     SidecarConfig assignment;
-    assignment.name = "scale", assignment.listen = listen.text(),
+    assignment.name = "scale";
+    assignment.listen = listen.text();
     assignment.discovery = discovery_->address().text();
     assignment.known = discovery_->whole();
     int sidecars = std::clamp(kSidecars * endpoints / kUsualEndpoints, kSidecars, kMostSidecars);
--- a/tools/load_test/scenario/draw.cpp
+++ b/tools/load_test/scenario/draw.cpp
@@ -60,7 +60,8 @@
     tier.endpoints = 2 + chance.below(4);
     tier.speed = {rounded(0.5 + 0.3 * chance.uniform()), rounded(0.9 + 0.4 * chance.uniform())};
     tier.crowd = chance.happens(0.3) ? 6 : 0;
-    tier.cancel_stops = chance.happens(0.7), tier.reports = chance.happens(0.8);
+    tier.cancel_stops = chance.happens(0.7);
+    tier.reports = chance.happens(0.8);
     work_left += tier.work_share;
   }
   // One tier alone does all of the work.
@@ -73,8 +74,9 @@
     narrowest = std::min(narrowest, tier.endpoints * tier.cores * (tier.speed.low + tier.speed.high) / 2 /
                                         (tier.work_share * mean_work));
   made.clients.rate = std::min(160.0, std::round(narrowest * (0.25 + 0.45 * chance.uniform())));
-  made.clients.retries = chance.below(3), made.clients.obeys = chance.happens(0.6);
-  made.clients.heavy = rounded(0.05 * chance.uniform()),
+  made.clients.retries = chance.below(3);
+  made.clients.obeys = chance.happens(0.6);
+  made.clients.heavy = rounded(0.05 * chance.uniform());
   made.clients.leaves = rounded(0.05 * chance.uniform());
   made.clients.bad_rate = chance.happens(0.25) ? 10 : 0;
   int troubles = 1 + chance.below(5);
@@ -82,8 +84,10 @@
     const Likely& drawn = likely()[chance.pick(likely(), [](const Likely& one) { return one.weight; })];
     Fault fault;
     fault.kind = drawn.kind;
-    fault.at = rounded(0.5 + 4 * chance.uniform()), fault.span = rounded(chance.in(drawn.span));
-    fault.factor = rounded(chance.in(drawn.factor)), fault.share = rounded(chance.in(drawn.share));
+    fault.at = rounded(0.5 + 4 * chance.uniform());
+    fault.span = rounded(chance.in(drawn.span));
+    fault.factor = rounded(chance.in(drawn.factor));
+    fault.share = rounded(chance.in(drawn.share));
     fault.bytes = chance.below(400);
     const TierPlan& tier = made.tiers[std::size_t(chance.below(tiers))];
     bool whole = drawn.kind == Trouble::SharedSlow || drawn.kind == Trouble::Release ||
--- a/tools/load_test/scenario/scenario.cpp
+++ b/tools/load_test/scenario/scenario.cpp
@@ -58,16 +58,31 @@
   Scenario made;
   made.name = "default";
   TierPlan front, dossier, bron;
-  front.name = "front", front.work_share = 0.35;
-  dossier.name = "dossier", dossier.work_share = 0.34;
-  bron.name = "bron", bron.work_share = 0.31, bron.calls = 0;
+  front.name = "front";
+  front.work_share = 0.35;
+  dossier.name = "dossier";
+  dossier.work_share = 0.34;
+  bron.name = "bron";
+  bron.work_share = 0.31;
+  bron.calls = 0;
   made.tiers = {front, dossier, bron};
   ClassPlan status, consent, upload;
-  status.name = "status", status.share = 0.4, status.work = {0.02, 0.04}, status.credit = 2;
-  consent.name = "consent", consent.share = 0.31, consent.work = {0.02, 0.04}, consent.credit = 8;
+  status.name = "status";
+  status.share = 0.4;
+  status.work = {0.02, 0.04};
+  status.credit = 2;
+  consent.name = "consent";
+  consent.share = 0.31;
+  consent.work = {0.02, 0.04};
+  consent.credit = 8;
   consent.idempotency = Idempotency::Unsafe;
-  upload.name = "upload", upload.share = 0.29, upload.work = {0.03, 0.06}, upload.credit = 3;
-  upload.idempotency = Idempotency::Keyed, upload.latency_objective = 0.4, upload.client_timeout = 1.2;
+  upload.name = "upload";
+  upload.share = 0.29;
+  upload.work = {0.03, 0.06};
+  upload.credit = 3;
+  upload.idempotency = Idempotency::Keyed;
+  upload.latency_objective = 0.4;
+  upload.client_timeout = 1.2;
   made.request_classes = {status, consent, upload};
   made.tenants = {{"kotwijzer", 0.64}, {"immo-dijle", 0.23}, {"woonpunt-zuid", 0.13}};
   return made;
@@ -78,7 +93,7 @@
   for (const ClassPlan& request_class : request_classes)
     made.request_classes[request_class.name] = {request_class.idempotency, request_class.memory,
                                                 request_class.grouped};
-  made.grace = grace,
+  made.grace = grace;
   made.slow_start = {slow_start_share, warm_after, slow_start_multiple, slow_start_window};
   return made;
 }
@@ -158,7 +173,8 @@
       const toml::table* table = node.as_table();
       if (!table) fail(node, std::string("'") + key + "' is a list of tables, [[" + key + "]]");
       Table inner(*table, path_, std::string("[[") + key + "]]");
-      of(inner), inner.all_read();
+      of(inner);
+      inner.all_read();
     }
   }
   void inner(const char* key, const std::function<void(Table&)>& of) {
@@ -167,7 +183,8 @@
     const toml::table* table = found->as_table();
     if (!table) fail(*found, std::string("'") + key + "' is a table, [" + key + "]");
     Table inner(*table, path_, std::string("[") + key + "]");
-    of(inner), inner.all_read();
+    of(inner);
+    inner.all_read();
   }
   void all_read() const {
     for (const auto& [key, node] : table_) {
@@ -202,14 +219,21 @@
 
 void read_tier(Table& table, TierPlan& tier) {
   table.read("name", tier.name);
-  table.read("endpoints", tier.endpoints, 1, 256), table.read("cores", tier.cores, 1, 64);
-  table.read("speed", tier.speed), table.read("queue", tier.queue, 0, 100000);
+  table.read("endpoints", tier.endpoints, 1, 256);
+  table.read("cores", tier.cores, 1, 64);
+  table.read("speed", tier.speed);
+  table.read("queue", tier.queue, 0, 100000);
   table.read("connections", tier.connections, 1, 100000);
-  table.read("connection_work", tier.connection_work), table.read("groups", tier.groups, 1, 256);
-  table.read("calls", tier.calls, 0, 10), table.read("work_share", tier.work_share, 0, 1);
-  table.read("crowd", tier.crowd), table.read("crowd_after", tier.crowd_after);
-  table.read("crowd_factor", tier.crowd_factor, 1, 100), table.read("crowd_span", tier.crowd_span);
-  table.read("cancel_stops", tier.cancel_stops), table.read("reports", tier.reports);
+  table.read("connection_work", tier.connection_work);
+  table.read("groups", tier.groups, 1, 256);
+  table.read("calls", tier.calls, 0, 10);
+  table.read("work_share", tier.work_share, 0, 1);
+  table.read("crowd", tier.crowd);
+  table.read("crowd_after", tier.crowd_after);
+  table.read("crowd_factor", tier.crowd_factor, 1, 100);
+  table.read("crowd_span", tier.crowd_span);
+  table.read("cancel_stops", tier.cancel_stops);
+  table.read("reports", tier.reports);
 }
 
 void read_prefix(Table& table, ClassPlan& request_class) {
@@ -217,27 +241,38 @@
   table.choose<Idempotency>(
       "kind", request_class.idempotency,
       {{"read-like", Idempotency::Safe}, {"tagged", Idempotency::Keyed}, {"mutating", Idempotency::Unsafe}});
-  table.read("share", request_class.share, 0, 1), table.read("work", request_class.work);
-  table.read("target_latency", request_class.latency_objective),
-      table.read("client_timeout", request_class.client_timeout);
-  table.read("credit", request_class.credit), table.read("late_credit", request_class.late_credit, 0, 1);
-  table.read("memory", request_class.memory), table.read("grouped", request_class.grouped);
+  table.read("share", request_class.share, 0, 1);
+  table.read("work", request_class.work);
+  table.read("target_latency", request_class.latency_objective);
+  table.read("client_timeout", request_class.client_timeout);
+  table.read("credit", request_class.credit);
+  table.read("late_credit", request_class.late_credit, 0, 1);
+  table.read("memory", request_class.memory);
+  table.read("grouped", request_class.grouped);
 }
 
 void read_clients(Table& table, ClientPlan& clients) {
-  table.read("rate", clients.rate, 0, 100000), table.read("retries", clients.retries, 0, 10);
-  table.read("pause", clients.pause), table.read("obeys", clients.obeys);
-  table.read("leaves", clients.leaves, 0, 1), table.read("heavy", clients.heavy, 0, 1);
-  table.read("bad_rate", clients.bad_rate, 0, 10000), table.read("tells_time", clients.tells_time);
+  table.read("rate", clients.rate, 0, 100000);
+  table.read("retries", clients.retries, 0, 10);
+  table.read("pause", clients.pause);
+  table.read("obeys", clients.obeys);
+  table.read("leaves", clients.leaves, 0, 1);
+  table.read("heavy", clients.heavy, 0, 1);
+  table.read("bad_rate", clients.bad_rate, 0, 10000);
+  table.read("tells_time", clients.tells_time);
 }
 
 void read_fault(Table& table, Fault& fault) {
   std::vector<std::pair<std::string, Trouble>> kinds;
   for (const TroubleName& one : trouble_names()) kinds.emplace_back(one.name, one.kind);
   table.choose<Trouble>("kind", fault.kind, kinds);
-  table.read("at", fault.at), table.read("for", fault.span), table.read("on", fault.on);
-  table.read("factor", fault.factor, 1, 1000), table.read("share", fault.share, 0, 1);
-  table.read("bytes", fault.bytes, 0, 1 << 20), table.read("every", fault.every);
+  table.read("at", fault.at);
+  table.read("for", fault.span);
+  table.read("on", fault.on);
+  table.read("factor", fault.factor, 1, 1000);
+  table.read("share", fault.share, 0, 1);
+  table.read("bytes", fault.bytes, 0, 1 << 20);
+  table.read("every", fault.every);
   table.read("times", fault.times, 1, 1000);
 }
 
@@ -253,18 +288,23 @@
     Table::fail(path, fault.source(), std::string(fault.description()));
   }
   Table table(parsed, path, "a script");
-  table.read("title", scenario.title), table.read("length", scenario.length, 0.5, 3600);
-  table.read("sidecars", scenario.sidecars, 1, 32), table.read("max_fetches", scenario.max_attempts, 1, 10);
+  table.read("title", scenario.title);
+  table.read("length", scenario.length, 0.5, 3600);
+  table.read("sidecars", scenario.sidecars, 1, 32);
+  table.read("max_fetches", scenario.max_attempts, 1, 10);
   table.read("sites", scenario.sites);
-  table.read("descriptors", scenario.descriptors, 32, 65536),
-      table.read("memory_mb", scenario.memory_mb, 16, 4096);
-  table.read("list_delay", scenario.list_delay), table.read("grace", scenario.grace);
-  table.read("cold_share", scenario.slow_start_share, 0.01, 1), table.read("warm_after", scenario.warm_after);
+  table.read("descriptors", scenario.descriptors, 32, 65536);
+  table.read("memory_mb", scenario.memory_mb, 16, 4096);
+  table.read("list_delay", scenario.list_delay);
+  table.read("grace", scenario.grace);
+  table.read("cold_share", scenario.slow_start_share, 0.01, 1);
+  table.read("warm_after", scenario.warm_after);
   table.read("cold_multiple", scenario.slow_start_multiple, 1, 100);
   table.read("cold_window", scenario.slow_start_window, 0.1, 60);
-  table.read("connect_timeout", scenario.connect_timeout), table.read("idle_time", scenario.idle_time);
-  table.read("longest_wait_advice", scenario.longest_wait_advice),
-      table.read("window", scenario.window, 0.1, 60);
+  table.read("connect_timeout", scenario.connect_timeout);
+  table.read("idle_time", scenario.idle_time);
+  table.read("longest_wait_advice", scenario.longest_wait_advice);
+  table.read("window", scenario.window, 0.1, 60);
   bool fresh_tiers = true, fresh_prefixes = true, fresh_customers = true;
   table.each("tier", [&](Table& inner) {
     if (std::exchange(fresh_tiers, false)) scenario.tiers.clear();
@@ -279,7 +319,8 @@
   table.each("customer", [&](Table& inner) {
     if (std::exchange(fresh_customers, false)) scenario.tenants.clear();
     CustomerPlan& tenant = scenario.tenants.emplace_back();
-    inner.read("name", tenant.name), inner.read("share", tenant.share, 0, 1);
+    inner.read("name", tenant.name);
+    inner.read("share", tenant.share, 0, 1);
   });
   table.inner("clients", [&](Table& inner) { read_clients(inner, scenario.clients); });
   table.each("fault", [&](Table& inner) {
@@ -342,21 +383,34 @@
 }
 
 void stretch(Scenario& scenario, double scale) {
-  auto by = [scale](Span& span) { span.low *= scale, span.high *= scale; };
+  auto by = [scale](Span& span) {
+    span.low *= scale;
+    span.high *= scale;
+  };
   for (double* time :
        {&scenario.length, &scenario.grace, &scenario.warm_after, &scenario.slow_start_window,
         &scenario.connect_timeout, &scenario.idle_time, &scenario.longest_wait_advice, &scenario.window})
     *time *= scale;
   by(scenario.list_delay);
-  for (TierPlan& tier : scenario.tiers)
-    tier.connection_work *= scale, tier.crowd_after *= scale, tier.crowd_span *= scale;
+  for (TierPlan& tier : scenario.tiers) {
+    tier.connection_work *= scale;
+    tier.crowd_after *= scale;
+    tier.crowd_span *= scale;
+  }
   for (ClassPlan& request_class : scenario.request_classes) {
     by(request_class.work);
-    request_class.latency_objective *= scale, request_class.client_timeout *= scale,
-        request_class.memory *= scale;
+    request_class.latency_objective *= scale;
+    request_class.client_timeout *= scale;
+    request_class.memory *= scale;
+  }
+  scenario.clients.rate /= scale;
+  scenario.clients.bad_rate /= scale;
+  scenario.clients.pause *= scale;
+  for (Fault& fault : scenario.faults) {
+    fault.at *= scale;
+    fault.span *= scale;
+    fault.every *= scale;
   }
-  scenario.clients.rate /= scale, scenario.clients.bad_rate /= scale, scenario.clients.pause *= scale;
-  for (Fault& fault : scenario.faults) fault.at *= scale, fault.span *= scale, fault.every *= scale;
 }
 
 std::string write_scenario(const Scenario& scenario) {
--- a/tools/load_test/tests/invariant_checker.cpp
+++ b/tools/load_test/tests/invariant_checker.cpp
@@ -23,26 +23,38 @@
 class History {
  public:
   History() : checker(bounds()) {}
-  History& at(double when) { return now = when, checker.advance(when), *this; }
+  History& at(double when) {
+    now = when;
+    checker.advance(when);
+    return *this;
+  }
   History& offered(const char* request, const char* request_class = "read", double waits = 1) {
     Event event = made(Kind::Offered, request);
-    event.sidecar = 0, event.request_class = request_class, event.figure = waits;
+    event.sidecar = 0;
+    event.request_class = request_class;
+    event.figure = waits;
     return see(event);
   }
   History& answered(const char* request, int status = 200, bool genuine = true, double found_since = -1) {
     Event event = made(Kind::Answered, request);
-    event.sidecar = 0, event.status = status, event.genuine = genuine;
+    event.sidecar = 0;
+    event.status = status;
+    event.genuine = genuine;
     if (found_since >= 0) event.since = found_since;
     return see(event);
   }
   History& attempt(Kind kind, const char* request, int endpoint, int group = 1, double work = 0) {
     Event event = made(kind, request);
-    event.sidecar = 0, event.endpoint = endpoint, event.group = group, event.figure = work;
+    event.sidecar = 0;
+    event.endpoint = endpoint;
+    event.group = group;
+    event.figure = work;
     return see(event);
   }
   History& runs(const char* request, int endpoint, int group = 1) {
-    return attempt(Kind::FirstByte, request, endpoint, group), attempt(Kind::Begun, request, endpoint, group),
-           attempt(Kind::Ran, request, endpoint, group);
+    attempt(Kind::FirstByte, request, endpoint, group);
+    attempt(Kind::Begun, request, endpoint, group);
+    return attempt(Kind::Ran, request, endpoint, group);
   }
   History& request_is(Kind kind, const char* request) {
     Event event = made(kind, request);
@@ -51,17 +63,21 @@
   }
   History& sidecar(Kind kind, double figure = 0) {
     Event event = made(kind, "");
-    event.sidecar = 0, event.figure = figure;
+    event.sidecar = 0;
+    event.figure = figure;
     return see(event);
   }
   History& notified(int endpoint, Event::State state) {
     Event event = made(Kind::Notified, "");
-    event.sidecar = 0, event.endpoint = endpoint, event.state = state;
+    event.sidecar = 0;
+    event.endpoint = endpoint;
+    event.state = state;
     return see(event);
   }
   History& start_fresh(int endpoint, double capacity) {
     Event event = made(Kind::Started, "");
-    event.endpoint = endpoint, event.figure = capacity;
+    event.endpoint = endpoint;
+    event.figure = capacity;
     return see(event);
   }
   Rule only() {
@@ -76,10 +92,14 @@
  private:
   Event made(Kind kind, const char* request) {
     Event event{kind};
-    event.at = event.since = now, event.request = request;
+    event.at = event.since = now;
+    event.request = request;
     return event;
   }
-  History& see(const Event& event) { return checker.observe(event), *this; }
+  History& see(const Event& event) {
+    checker.observe(event);
+    return *this;
+  }
 };
 
 void one_answer_in_time_is_kept() {
--- a/tools/load_test/tests/pieces.cpp
+++ b/tools/load_test/tests/pieces.cpp
@@ -101,10 +101,14 @@
 
 void a_burst_brings_more_and_a_scale_moves_all_times() {
   Scenario scenario = default_scenario();
-  scenario.clients.rate = 200, scenario.length = 10;
+  scenario.clients.rate = 200;
+  scenario.length = 10;
   std::size_t usual = draw_arrivals(scenario, 3).size();
   Fault burst;
-  burst.kind = Trouble::Burst, burst.at = 2, burst.span = 4, burst.factor = 3;
+  burst.kind = Trouble::Burst;
+  burst.at = 2;
+  burst.span = 4;
+  burst.factor = 3;
   scenario.faults = {burst};
   std::size_t more = draw_arrivals(scenario, 3).size();
   assert(double(more) > 1.6 * double(usual) && double(more) < 2.0 * double(usual));
--- a/tools/load_test/tests/plays.cpp
+++ b/tools/load_test/tests/plays.cpp
@@ -115,8 +115,10 @@
   Played played = play("run site-reloads --json " + scratch + "/sites");
   nlohmann::json json = result("sites");
   int taken = 0, kept = 0;
-  for (const nlohmann::json& sidecar : json["sidecars"])
-    taken += sidecar["reloads"].get<int>(), kept += sidecar["kept"].get<int>();
+  for (const nlohmann::json& sidecar : json["sidecars"]) {
+    taken += sidecar["reloads"].get<int>();
+    kept += sidecar["kept"].get<int>();
+  }
   std::fprintf(stderr, "%d reloads taken, %d not, %s visits, %s unanswered\n", taken, kept,
                json["visits"].dump().c_str(), json["unanswered"].dump().c_str());
   assert(played.exit == 0 && played.last == "rules: kept\n");
@@ -170,7 +172,8 @@
 
 int main(int count, char** words) {
   assert(count == 3);
-  load_test = words[1], folder = words[2];
+  load_test = words[1];
+  folder = words[2];
   std::string made = (std::filesystem::temp_directory_path() / "plays-XXXXXX").string();
   assert(mkdtemp(made.data()));
   scratch = made;
--- a/tools/load_test/tests/scale.cpp
+++ b/tools/load_test/tests/scale.cpp
@@ -14,7 +14,10 @@
 // The whole list was asked for every 2 s: 10 s took 2.5 MB of lists where 2 MB are allowed.
 void lists_descriptors_and_connections_stay_within_their_bounds(const std::string& program) {
   ScalePlan plan;
-  plan.command = program, plan.endpoints = {200, 3200}, plan.seconds = 11, plan.side_by_side = true;
+  plan.command = program;
+  plan.endpoints = {200, 3200};
+  plan.seconds = 11;
+  plan.side_by_side = true;
   std::vector<ScaleFigures> days = measure_scale(plan);
   for (const ScaleBound& bound : scale_bounds(days.front(), days.back())) {
     bool of_the_machine = bound.what.starts_with("CPU") || bound.what.starts_with("peak memory");
--- a/tools/load_test/world/caller.cpp
+++ b/tools/load_test/world/caller.cpp
@@ -21,9 +21,13 @@
 
   void carry(const Ask& ask, Done done) {
     kept_ = offered_ > 0;
-    ask_ = ask, done_ = std::move(done), offered_ = 0, heard_ = false;
+    ask_ = ask;
+    done_ = std::move(done);
+    offered_ = 0;
+    heard_ = false;
     Message message;
-    message.method = ask.safe ? "GET" : "POST", message.target = ask.target;
+    message.method = ask.safe ? "GET" : "POST";
+    message.target = ask.target;
     message.headers = {{"X-Correlation-Id", ask.request}};
     if (!ask.tenant.empty()) message.headers.emplace_back("X-Account", ask.tenant);
     if (!ask.key.empty()) message.headers.emplace_back("Idempotency-Key", ask.key);
@@ -46,7 +50,9 @@
   Loop& loop() { return caller_.world_.loop; }
   void see(Event::Kind kind, int status = 0, bool genuine = false) {
     Event event{kind};
-    event.request = request_, event.sidecar = caller_.sidecar_, event.status = status,
+    event.request = request_;
+    event.sidecar = caller_.sidecar_;
+    event.status = status;
     event.genuine = genuine;
     caller_.world_.see(event);
   }
@@ -54,7 +60,9 @@
     if (!ask_) return;
     request_ = ask_->request;
     Event event{Event::Kind::Offered};
-    event.request = request_, event.sidecar = caller_.sidecar_, event.request_class = ask_->request_class,
+    event.request = request_;
+    event.sidecar = caller_.sidecar_;
+    event.request_class = ask_->request_class;
     event.key = ask_->key;
     event.figure = ask_->time_left;
     caller_.world_.did(event);
@@ -114,7 +122,10 @@
     bool never = offered_ == 0;
     ask_.reset();
     if (never) drop();
-    else looking_on_ = true, timer_ = loop().at(loop().now() + kLooksOn, [this] { drop(); });
+    else {
+      looking_on_ = true;
+      timer_ = loop().at(loop().now() + kLooksOn, [this] { drop(); });
+    }
     done(never ? End::Unreachable : End::TimedOut, Message());
   }
   void drop() {
--- a/tools/load_test/world/clients.cpp
+++ b/tools/load_test/world/clients.cpp
@@ -51,10 +51,21 @@
     for (auto bits = std::uint64_t(value * 1e6); bits; bits >>= 8)
       print = (print ^ (bits & 255)) * 1099511628211u;
   };
-  for (const Arrival& one : arrivals)
-    add(one.at), add(one.request_class), add(one.tenant), add(one.work), add(one.leaves_after), add(one.draw);
-  for (const Fault& fault : scenario.faults)
-    add(int(fault.kind) + 1), add(fault.at), add(fault.span), add(fault.factor), add(fault.share);
+  for (const Arrival& one : arrivals) {
+    add(one.at);
+    add(one.request_class);
+    add(one.tenant);
+    add(one.work);
+    add(one.leaves_after);
+    add(one.draw);
+  }
+  for (const Fault& fault : scenario.faults) {
+    add(int(fault.kind) + 1);
+    add(fault.at);
+    add(fault.span);
+    add(fault.factor);
+    add(fault.share);
+  }
   return print;
 }
 
@@ -104,7 +115,10 @@
     if (!said.empty()) line_.send(said);
     // Dead before its last byte: its request was never taken, and nothing of it may run.
     if (said.ends_with("dies"))
-      death_ = loop().at(loop().now() + 0.005, [this] { line_.reset(), over(true); });
+      death_ = loop().at(loop().now() + 0.005, [this] {
+        line_.reset();
+        over(true);
+      });
   }
 
  private:
@@ -119,7 +133,8 @@
   void on_end(Line&, bool) override { over(true); }
   void over(bool notify) {
     if (!notify) ++clients_.bad_unanswered_;
-    loop().cancel(timer_), loop().cancel(death_);
+    loop().cancel(timer_);
+    loop().cancel(death_);
     line_.close();
     auto found = clients_.bad_callers_.extract(this);
     if (!found.empty()) loop().bury(std::move(found.mapped()));
@@ -205,13 +220,15 @@
       world_.scenario.request_classes[std::size_t(request->arrival.request_class)];
   Ask ask;
   ask.request = request->request = world_.new_request_id();
-  ask.request_class = request_class.name, ask.key = request->key;
+  ask.request_class = request_class.name;
+  ask.key = request->key;
   char work[32];
   std::snprintf(work, sizeof work, "%.5f", request->arrival.work);
   ask.target = "/" + request_class.name + "/visit?work=" + work;
   ask.tenant = world_.scenario.tenants[std::size_t(request->arrival.tenant)].name;
   ask.safe = request_class.idempotency == Idempotency::Safe;
-  ask.time_left = request_class.client_timeout, ask.tells_time = world_.scenario.clients.tells_time;
+  ask.time_left = request_class.client_timeout;
+  ask.tells_time = world_.scenario.clients.tells_time;
   ask.repeat = request->tries > 0;
   double draw = request->tries + request->unreachable == 0 ? request->arrival.draw : chance_.uniform();
   request->caller = choose(draw);
@@ -250,8 +267,11 @@
   request->over = true;
   --open_;
   Fate fate;
-  fate.end = end, fate.at = request->arrival.at, fate.took = world_.loop.now() - request->began;
-  fate.request_class = request->arrival.request_class, fate.tenant = request->arrival.tenant,
+  fate.end = end;
+  fate.at = request->arrival.at;
+  fate.took = world_.loop.now() - request->began;
+  fate.request_class = request->arrival.request_class;
+  fate.tenant = request->arrival.tenant;
   fate.tries = request->tries;
   notify_(fate);
 }
--- a/tools/load_test/world/discovery.cpp
+++ b/tools/load_test/world/discovery.cpp
@@ -43,7 +43,10 @@
   void line(const std::string& text) {
     if (watching_) line_.send(chunk(text + "\n"));
   }
-  void close() { line_.close(), agent_.let_go(*this); }
+  void close() {
+    line_.close();
+    agent_.let_go(*this);
+  }
   bool watching() const { return watching_; }
 
  private:
@@ -119,7 +122,9 @@
   for (const Listed& entry : view()) {
     notified_[entry.endpoint] = entry.state;
     Event event{Event::Kind::Notified};
-    event.sidecar = sidecar_, event.endpoint = entry.endpoint, event.state = entry.state;
+    event.sidecar = sidecar_;
+    event.endpoint = entry.endpoint;
+    event.state = entry.state;
     world_.did(event);
   }
 }
@@ -153,7 +158,9 @@
     auto before = notified_.find(endpoint);
     if (before != notified_.end() && before->second == state) continue;
     Event event{Event::Kind::Notified};
-    event.sidecar = sidecar_, event.endpoint = endpoint, event.state = state;
+    event.sidecar = sidecar_;
+    event.endpoint = endpoint;
+    event.state = state;
     world_.did(event);
   }
   notified_ = std::move(now);
--- a/tools/load_test/world/endpoint.cpp
+++ b/tools/load_test/world/endpoint.cpp
@@ -83,10 +83,12 @@
 
 void Endpoint::start(bool fresh) {
   if (fallen_) return;
-  up_ = true, ++life_;
+  up_ = true;
+  ++life_;
   slow_start_.reset();
   started_ = fresh ? world_.loop.now() : -1e9;
-  crowded_since_ = -1, slow_until_ = 0;
+  crowded_since_ = -1;
+  slow_until_ = 0;
   if (listeners_.empty()) {
     for (const auto& [sidecar, address] : place_.listeners)
       listeners_.push_back(std::make_unique<Listener>(world_.loop, *this, address, sidecar));
@@ -94,7 +96,9 @@
   set_listeners();
   if (fresh) {
     Event event{Event::Kind::Started};
-    event.endpoint = number_, event.group = place_.group, event.figure = speed_ * plan().cores;
+    event.endpoint = number_;
+    event.group = place_.group;
+    event.figure = speed_ * plan().cores;
     world_.did(event);
   }
   world_.loop.cancel(sweep_);
@@ -102,22 +106,28 @@
 }
 
 void Endpoint::crash() {
-  up_ = false, ++life_;
+  up_ = false;
+  ++life_;
   for (auto& [key, link] : links_) link->line.reset();
   end();
 }
 
 void Endpoint::end() {
-  up_ = false, ++life_;
+  up_ = false;
+  ++life_;
   set_listeners();
   std::vector<Link*> all;
   for (auto& [key, link] : links_) all.push_back(link.get());
   for (Link* link : all) let_go(*link);
-  queue_.clear(), held_.clear();
+  queue_.clear();
+  held_.clear();
   working_ = in_hand_ = 0;
 }
 
-void Endpoint::rename(int number, std::string name) { number_ = number, name_ = std::move(name); }
+void Endpoint::rename(int number, std::string name) {
+  number_ = number;
+  name_ = std::move(name);
+}
 
 void Endpoint::change(const std::function<void(Condition&)>& how) {
   how(condition_);
@@ -135,12 +145,18 @@
   for (auto& listener : listeners_) {
     if (!up_ || condition_.refusing > 0) listener->shut();
     else if (condition_.unreachable > 0) listener->block();
-    else listener->open(), listener->deaf(condition_.frozen > 0);
+    else {
+      listener->open();
+      listener->deaf(condition_.frozen > 0);
+    }
   }
 }
 
 void Endpoint::drop_connections() {
-  for (auto& [key, link] : links_) link->ruined = true, link->line.deaf(true);
+  for (auto& [key, link] : links_) {
+    link->ruined = true;
+    link->line.deaf(true);
+  }
 }
 
 void Endpoint::sweep() {
@@ -185,29 +201,41 @@
 
 void Endpoint::see(Event::Kind kind, const Link& link, const std::string& request, double figure) {
   Event event{kind};
-  event.request = request, event.endpoint = number_, event.group = place_.group, event.sidecar = link.sidecar;
+  event.request = request;
+  event.endpoint = number_;
+  event.group = place_.group;
+  event.sidecar = link.sidecar;
   event.figure = figure;
-  if (link.job) event.request_class = link.job->request_class, event.key = link.job->key;
+  if (link.job) {
+    event.request_class = link.job->request_class;
+    event.key = link.job->key;
+  }
   world_.see(event);
 }
 
 void Endpoint::take(Link& link, const Message& incoming) {
   JobPtr job = std::make_shared<Job>();
-  job->request = incoming.header("X-Correlation-Id"), job->target = incoming.target;
-  job->tenant = incoming.header("X-Account"), job->key = incoming.header("Idempotency-Key");
+  job->request = incoming.header("X-Correlation-Id");
+  job->target = incoming.target;
+  job->tenant = incoming.header("X-Account");
+  job->key = incoming.header("Idempotency-Key");
   job->safe = incoming.method == "GET";
   std::size_t slash = incoming.target.find('/', 1);
   job->request_class = incoming.target.substr(1, slash == std::string::npos ? slash : slash - 1);
   if (job->request.empty()) {
     Message none;
-    none.status = 404, none.close = true;
+    none.status = 404;
+    none.close = true;
     link.last = true;
     return link.line.send(write(none));
   }
   Event first{Event::Kind::FirstByte};
-  first.request = job->request, first.endpoint = number_, first.group = place_.group,
+  first.request = job->request;
+  first.endpoint = number_;
+  first.group = place_.group;
   first.sidecar = link.sidecar;
-  first.at = link.first_byte.first, first.since = link.first_byte.second;
+  first.at = link.first_byte.first;
+  first.since = link.first_byte.second;
   world_.observer.observe(first);
   std::size_t at = incoming.target.find("work=");
   double work = at == std::string::npos ? 0.01 : std::atof(incoming.target.c_str() + at + 5);
@@ -218,14 +246,19 @@
   weigh(work);
   bool full = links_.size() > std::size_t(plan().connections);
   if (full || in_hand_ >= plan().cores + plan().queue) return turn_away(link, job->request, work);
-  job->piece = work / 2, job->life = life_;
+  job->piece = work / 2;
+  job->life = life_;
   job->calls = below_ ? plan().calls : 0;
-  link.job = job, job->link = &link;
+  link.job = job;
+  job->link = &link;
   see(Event::Kind::Begun, link, job->request, work);
   if (std::exchange(link.fresh, false)) job->piece += plan().connection_work;
   ++in_hand_;
   if (condition_.hang > 0) return void(--in_hand_);
-  if (world_.chance.happens(condition_.errors)) return --in_hand_, answer(job, 500);
+  if (world_.chance.happens(condition_.errors)) {
+    --in_hand_;
+    return answer(job, 500);
+  }
   if (!job->key.empty()) {
     double memory = 0;
     for (const ClassPlan& request_class : world_.scenario.request_classes) {
@@ -247,7 +280,8 @@
   world_.loop.at(world_.loop.now(), [this, life = life_] {
     if (life != life_) return;
     Event event{Event::Kind::FellOver};
-    event.endpoint = number_, event.group = place_.group;
+    event.endpoint = number_;
+    event.group = place_.group;
     world_.did(event);
     fallen_ = true;
     crash();
@@ -307,7 +341,8 @@
 void Endpoint::piece_done(const JobPtr& job) {
   if (!job->working) return;
   job->working = false;
-  --working_, ++job->pieces;
+  --working_;
+  ++job->pieces;
   work_done_ += job->piece;
   next_step(job);
   run_next();
@@ -324,7 +359,9 @@
 void Endpoint::call_below(const JobPtr& job) {
   Ask ask;
   ask.request = job->call = world_.new_request_id();
-  ask.request_class = job->request_class, ask.target = job->target, ask.tenant = job->tenant;
+  ask.request_class = job->request_class;
+  ask.target = job->target;
+  ask.tenant = job->tenant;
   // A repeat's calls are repeats as well, by the same keys.
   if (!job->key.empty()) ask.key = job->key + "." + std::to_string(job->calls);
   ask.safe = job->safe;
@@ -357,7 +394,8 @@
     --in_hand_;
   } else if (job->working && plan().cancel_stops) {
     job->working = false;
-    --working_, --in_hand_;
+    --working_;
+    --in_hand_;
     run_next();
   }
 }
@@ -371,7 +409,9 @@
   message.headers.emplace_back("X-Made-By", name_);
   message.body = "made for " + job->request + "\nby " + name_ + "\n";
   Event event{Event::Kind::AttemptAnswered};
-  event.request = job->request, event.endpoint = number_, event.group = place_.group,
+  event.request = job->request;
+  event.endpoint = number_;
+  event.group = place_.group;
   event.sidecar = link->sidecar;
   event.status = status;
   world_.see(event);
--- a/tools/load_test/world/fleet.cpp
+++ b/tools/load_test/world/fleet.cpp
@@ -155,7 +155,8 @@
     second_listens_.push_back(new_address());
     versions_.push_back(0);
     agents_.push_back(std::make_unique<Agent>(world_, number, new_address()));
-    me_.push_back(me), of_tier_.push_back(tier);
+    me_.push_back(me);
+    of_tier_.push_back(tier);
     back_after_leaving_.push_back(true);
     tiers_[std::size_t(tier)].sidecars.push_back(number);
     return number;
@@ -168,7 +169,8 @@
     for (int g = 0; g < plan.groups; ++g) tier.memories.push_back(std::make_unique<TagMemory>());
     for (int i = 0; i < plan.endpoints; ++i) {
       Endpoint::Place place;
-      place.tier = int(k), place.group = int(k) * 1000 + 1 + i % plan.groups;
+      place.tier = int(k);
+      place.group = int(k) * 1000 + 1 + i % plan.groups;
       for (int sidecar : tier.sidecars) place.listeners.emplace_back(sidecar, new_address());
       auto key = std::make_pair(int(k), std::size_t(i));
       Caller* caller = nullptr;
@@ -216,7 +218,8 @@
   auto at = std::size_t(sidecar);
   SidecarConfig assignment;
   assignment.name = "s" + std::to_string(sidecar);
-  assignment.listen = listens_[at].text(), assignment.discovery = agents_[at]->address().text();
+  assignment.listen = listens_[at].text();
+  assignment.discovery = agents_[at]->address().text();
   if (world_.scenario.sites) {
     assignment.site = site_text(world_.scenario, versions_[at], assignment.listen, second_listens_[at].text(),
                                 assignment.discovery, tiers_[std::size_t(of_tier_[at])].sidecars.size());
@@ -227,7 +230,8 @@
   assignment.settings = settings_json(world_.scenario, of_tier_[at], me_[at],
                                       int(tiers_[std::size_t(of_tier_[at])].sidecars.size()));
   assignment.seed = seed_ * 1000003 + std::uint64_t(sidecar) * 101 + std::uint64_t(processes_[at]->starts());
-  assignment.descriptors = world_.scenario.descriptors, assignment.memory_mb = world_.scenario.memory_mb;
+  assignment.descriptors = world_.scenario.descriptors;
+  assignment.memory_mb = world_.scenario.memory_mb;
   if (world_.scenario.operated()) assignment.admin = new_address().text();
   return assignment;
 }
@@ -361,8 +365,14 @@
         case Trouble::Hang: now.hang += count; return;
         case Trouble::Errors: now.errors = share; return;
         case Trouble::Freeze: now.frozen += count; return;
-        case Trouble::ResetIn: now.reset_in = share, now.bytes = fault.bytes; return;
-        case Trouble::ResetOut: now.reset_out = share, now.bytes = fault.bytes; return;
+        case Trouble::ResetIn:
+          now.reset_in = share;
+          now.bytes = fault.bytes;
+          return;
+        case Trouble::ResetOut:
+          now.reset_out = share;
+          now.bytes = fault.bytes;
+          return;
         case Trouble::Refuse: now.refusing += count; return;
         case Trouble::Unreachable: now.unreachable += count; return;
         case Trouble::Spoil: now.spoil = share; return;
@@ -394,7 +404,10 @@
   int tier = tier_of(fault);
   for (std::size_t which : chosen(fault)) {
     if (begins) listed(tier, which, Event::State::Draining);
-    else listed(tier, which, Event::State::Gone), take_down(tier, which);
+    else {
+      listed(tier, which, Event::State::Gone);
+      take_down(tier, which);
+    }
   }
 }
 
@@ -491,7 +504,8 @@
     for (int sidecar : tiers_[std::size_t(tier)].sidecars) {
       auto notify = [this, tier, which, sidecar](Event::State state) {
         Event event{Event::Kind::Notified};
-        event.sidecar = sidecar, event.state = state;
+        event.sidecar = sidecar;
+        event.state = state;
         event.endpoint = tiers_[std::size_t(tier)].endpoints[which]->number();
         world_.did(event);
       };
--- a/tools/load_test/world/process.cpp
+++ b/tools/load_test/world/process.cpp
@@ -41,7 +41,10 @@
   long all = 0, resident = 0;
   if (statm >> all >> resident) usage.memory = double(resident) * double(sysconf(_SC_PAGESIZE));
   unsigned long long ran = 0, waited = 0;
-  if (scheduled >> ran >> waited) usage.starved = double(waited) * 1e-9, usage.cpu = double(ran) * 1e-9;
+  if (scheduled >> ran >> waited) {
+    usage.starved = double(waited) * 1e-9;
+    usage.cpu = double(ran) * 1e-9;
+  }
   if (DIR* folder = opendir((root + "/fd").c_str())) {
     while (readdir(folder)) ++usage.descriptors;
     closedir(folder);
@@ -88,13 +91,18 @@
 Process::~Process() {
   life_.reset();
   for (pid_t one : {process_, successor_}) {
-    if (one > 0) ::kill(one, SIGKILL), waitpid(one, nullptr, 0);
+    if (one > 0) {
+      ::kill(one, SIGKILL);
+      waitpid(one, nullptr, 0);
+    }
   }
 }
 
 void Process::see(Event::Kind kind, double figure, int status) {
   Event event{kind};
-  event.sidecar = sidecar_, event.figure = figure, event.status = status;
+  event.sidecar = sidecar_;
+  event.figure = figure;
+  event.status = status;
   world_.did(event);
 }
 
@@ -130,7 +138,8 @@
 void Process::start(const SidecarConfig& assignment) {
   if (phase_ != Phase::Down) return;
   process_ = spawn(assignment);
-  listen_ = assignment.listen, admin_ = assignment.admin;
+  listen_ = assignment.listen;
+  admin_ = assignment.admin;
   phase_ = Phase::Starting;
   last_ = Usage();
   probe();
@@ -148,7 +157,8 @@
   if (started == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     int out = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    dup2(out, 1), dup2(out, 2);
+    dup2(out, 1);
+    dup2(out, 2);
     rlimit most{descriptors, descriptors};
     setrlimit(RLIMIT_NOFILE, &most);
     setenv("TMPDIR", scratch.c_str(), 1);
@@ -180,7 +190,8 @@
 
 void Process::succeed(const SidecarConfig& assignment) {
   if (phase_ != Phase::Ready || successor_ > 0 || assignment.admin.empty()) return;
-  successor_ = spawn(assignment), successor_admin_ = assignment.admin;
+  successor_ = spawn(assignment);
+  successor_admin_ = assignment.admin;
   await_successor();
 }
 
@@ -252,7 +263,8 @@
   int status = 0;
   if (waitpid(process_, &status, WNOHANG) == process_) {
     if (successor_ > 0 && WIFEXITED(status) && WEXITSTATUS(status) == 0) {  // it gave way, as it should
-      process_ = std::exchange(successor_, -1), admin_ = successor_admin_;
+      process_ = std::exchange(successor_, -1);
+      admin_ = successor_admin_;
       cpu_before_ += std::exchange(last_, Usage()).cpu;
       return;
     }
--- a/tools/load_test/world/world.h
+++ b/tools/load_test/world/world.h
@@ -25,7 +25,8 @@
     return id;
   }
   void see(Event event) {
-    event.at = loop.now(), event.since = loop.since();
+    event.at = loop.now();
+    event.since = loop.since();
     observer.observe(event);
   }
   // What the load test did itself it knows to the moment.
