--- a/tools/load_test/cost/load.h
+++ b/tools/load_test/cost/load.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/load_test/loop/line.h"
+#include "tools/load_test/loop/connection.h"
 
 namespace load_test {
 
--- a/tools/load_test/faulty_proxy.cpp
+++ b/tools/load_test/faulty_proxy.cpp
@@ -8,8 +8,8 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
+#include "tools/load_test/loop/connection.h"
 #include "tools/load_test/loop/http.h"
-#include "tools/load_test/loop/line.h"
 
 namespace load_test {
 namespace {
--- a/tools/load_test/loop/line.cpp
+++ b/tools/load_test/loop/connection.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/loop/line.h"
+#include "tools/load_test/loop/connection.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/tools/load_test/loop/line.h
+++ b/tools/load_test/loop/connection.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "tools/load_test/loop/loop.h"
+#include "tools/load_test/loop/event_loop.h"
 
 namespace load_test {
 
--- a/tools/load_test/loop/loop.cpp
+++ b/tools/load_test/loop/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/loop/loop.h"
+#include "tools/load_test/loop/event_loop.h"
 
 #include <sys/epoll.h>
 #include <unistd.h>
--- a/tools/load_test/main.cpp
+++ b/tools/load_test/main.cpp
@@ -11,9 +11,9 @@
 #include "tools/load_test/cost/cost.h"
 #include "tools/load_test/cost/load.h"
 #include "tools/load_test/example_upstreams.h"
-#include "tools/load_test/lanes.h"
+#include "tools/load_test/parallel_runs.h"
 #include "tools/load_test/report/compare.h"
-#include "tools/load_test/report/page.h"
+#include "tools/load_test/report/html_report.h"
 #include "tools/load_test/run.h"
 #include "tools/load_test/scale/scale.h"
 
--- a/tools/load_test/lanes.cpp
+++ b/tools/load_test/parallel_runs.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/lanes.h"
+#include "tools/load_test/parallel_runs.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
--- a/tools/load_test/report/page.cpp
+++ b/tools/load_test/report/html_report.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/report/page.h"
+#include "tools/load_test/report/html_report.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/tools/load_test/report/figures.cpp
+++ b/tools/load_test/report/run_metrics.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/report/figures.h"
+#include "tools/load_test/report/run_metrics.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tools/load_test/run.cpp
+++ b/tools/load_test/run.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <sstream>
 
-#include "tools/load_test/report/figures.h"
+#include "tools/load_test/report/run_metrics.h"
 #include "tools/load_test/world/fleet.h"
 
 namespace load_test {
--- a/tools/load_test/scale/list_server.h
+++ b/tools/load_test/scale/list_server.h
@@ -7,8 +7,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "tools/load_test/loop/connection.h"
 #include "tools/load_test/loop/http.h"
-#include "tools/load_test/loop/line.h"
 
 namespace load_test {
 
--- a/tools/load_test/scenario/draw.cpp
+++ b/tools/load_test/scenario/random_scenario.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "tools/load_test/scenario/chance.h"
+#include "tools/load_test/scenario/random_source.h"
 
 namespace load_test {
 
--- a/tools/load_test/tests/pieces.cpp
+++ b/tools/load_test/tests/components.cpp
@@ -10,7 +10,7 @@
 #include "tools/load_test/cost/load.h"
 #include "tools/load_test/loop/http.h"
 #include "tools/load_test/report/compare.h"
-#include "tools/load_test/report/page.h"
+#include "tools/load_test/report/html_report.h"
 #include "tools/load_test/world/clients.h"
 #include "tools/load_test/world/endpoint.h"
 
--- a/tools/load_test/world/clients.h
+++ b/tools/load_test/world/clients.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/load_test/world/caller.h"
+#include "tools/load_test/world/sidecar_client.h"
 
 namespace load_test {
 
--- a/tools/load_test/world/discovery.h
+++ b/tools/load_test/world/discovery.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "tools/load_test/loop/http.h"
-#include "tools/load_test/world/world.h"
+#include "tools/load_test/world/run_context.h"
 
 namespace load_test {
 
--- a/tools/load_test/world/endpoint.h
+++ b/tools/load_test/world/endpoint.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "tools/load_test/invariants/slow_start.h"
-#include "tools/load_test/world/caller.h"
+#include "tools/load_test/world/sidecar_client.h"
 
 namespace load_test {
 
--- a/tools/load_test/world/fleet.h
+++ b/tools/load_test/world/fleet.h
@@ -10,7 +10,7 @@
 #include "tools/load_test/world/clients.h"
 #include "tools/load_test/world/discovery.h"
 #include "tools/load_test/world/endpoint.h"
-#include "tools/load_test/world/process.h"
+#include "tools/load_test/world/sidecar_process.h"
 
 namespace load_test {
 
--- a/tools/load_test/world/world.h
+++ b/tools/load_test/world/run_context.h
@@ -5,9 +5,9 @@
 #include <string>
 
 #include "tools/load_test/invariants/event.h"
-#include "tools/load_test/loop/line.h"
-#include "tools/load_test/loop/loop.h"
-#include "tools/load_test/scenario/chance.h"
+#include "tools/load_test/loop/connection.h"
+#include "tools/load_test/loop/event_loop.h"
+#include "tools/load_test/scenario/random_source.h"
 
 namespace load_test {
 
--- a/tools/load_test/world/caller.cpp
+++ b/tools/load_test/world/sidecar_client.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/world/caller.h"
+#include "tools/load_test/world/sidecar_client.h"
 
 #include <optional>
 #include <vector>
--- a/tools/load_test/world/process.cpp
+++ b/tools/load_test/world/sidecar_process.cpp
@@ -1,4 +1,4 @@
-#include "tools/load_test/world/process.h"
+#include "tools/load_test/world/sidecar_process.h"
 
 #include <dirent.h>
 #include <fcntl.h>
--- a/tools/load_test/world/process.h
+++ b/tools/load_test/world/sidecar_process.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/load_test/world/world.h"
+#include "tools/load_test/world/run_context.h"
 
 namespace load_test {
 
