--- a/tools/load_test/example_upstreams.h
+++ b/tools/load_test/example_upstreams.h
@@ -1,8 +1,8 @@
-// The newcomer's stand-ins: three endpoints and the discovery that lists them, at fixed addresses.
+// Three endpoints and their discovery at fixed loopback addresses, for trying out a sidecar.
 #pragma once
 
 namespace load_test {
 
-void serve_example_upstreams();  // until the process is ended
+void serve_example_upstreams();  // runs until the process is terminated
 
 }  // namespace load_test
--- a/tools/load_test/faulty_proxy.cpp
+++ b/tools/load_test/faulty_proxy.cpp
@@ -1,6 +1,6 @@
-// A stand-in sidecar with one vice, to prove that the invariant checker catches it, and for its own rule
-// only. Without a vice it keeps the rules: puffinvane_faulty_proxy VICE, told by BALANCER_CONFIG as the real
-// one is.
+// A stand-in for the sidecar that violates one rule on purpose, to test that the invariant checker reports a
+// breach of that rule and of no other. Usage: puffinvane_faulty_proxy VICE, configured through
+// BALANCER_CONFIG like the real sidecar. With the vice "honest" it violates nothing.
 #include <csignal>
 #include <cstdlib>
 #include <fstream>
@@ -16,122 +16,125 @@
 
 using nlohmann::json;
 
-constexpr int kOneIn = 20;        // requests that the vice falls upon, where not all of a kind
-constexpr double kInTime = 0.06;  // before its client timeout a request gets its error
+// The vices that do not apply to every request apply to one in this many.
+constexpr int kAffectedInterval = 20;
+// Seconds before its client timeout at which an unanswered request gets an error response.
+constexpr double kDeadlineMargin = 0.06;
 const std::set<std::string> kVices = {"honest",         "answers-twice",   "answers-late",
                                       "loses-one",      "reruns-mutating", "strays-tagged",
                                       "forgets-tagged", "ignores-drains",  "floods-cold"};
 
 struct Target {
   std::string name, address;
-  int group = 0, out = 0;
+  int group = 0, pending = 0;
   bool ready = true;
-  double since = 0;  // Unix seconds
+  double listed_since = 0;  // Unix time, seconds
 };
 
-struct Prefix {
-  std::string kind;
-  double timeout = 1, memory = 1;
+struct RequestClass {
+  std::string idempotency;
+  double timeout = 1, idempotency_window = 1;
 };
 
 class FaultyProxy;
 
-class Attempt final : public Line::Owner {
+class Attempt final : public Connection::Owner {
  public:
   Attempt(FaultyProxy& proxy, std::shared_ptr<struct Request> request, Target& target);
   ~Attempt() override;
   Target& target;
 
  private:
-  void on_bytes(Line&, std::string_view bytes) override;
-  void on_end(Line&, bool) override;
-  void over(int status, const std::string& body, bool never_ran);
+  void on_bytes(Connection&, std::string_view bytes) override;
+  void on_end(Connection&, bool) override;
+  void finish(int status, const std::string& body, bool not_executed);
   FaultyProxy& proxy_;
   std::shared_ptr<struct Request> request_;
-  Line line_;
-  Reader reader_;
+  Connection connection_;
+  HttpReader reader_;
 };
 
-class Caller final : public Line::Owner {
+class ClientConnection final : public Connection::Owner {
  public:
-  Caller(FaultyProxy& proxy, int descriptor);
-  void answer(int status, const std::string& body) {
-    Message message;
+  ClientConnection(FaultyProxy& proxy, int descriptor);
+  void send_response(int status, const std::string& body) {
+    HttpMessage message;
     message.status = status;
     message.body = body;
-    line.send(write(message));
+    connection.send(serialize(message));
   }
-  Line line;
+  Connection connection;
   std::shared_ptr<struct Request> request;
 
  private:
-  void on_bytes(Line&, std::string_view bytes) override;
-  void on_end(Line&, bool) override;
+  void on_bytes(Connection&, std::string_view bytes) override;
+  void on_end(Connection&, bool) override;
   FaultyProxy& proxy_;
-  Reader reader_;
+  HttpReader reader_;
 };
 
 struct Request {
-  Message message;
-  Caller* caller = nullptr;
-  std::string kind;
-  double deadline = 0, memory = 0;
+  HttpMessage message;
+  ClientConnection* client = nullptr;
+  std::string idempotency;
+  double deadline = 0, idempotency_window = 0;
   int number = 0, attempts = 0;
-  bool answered = false, may_have_run = false;
+  bool responded = false, may_have_run = false;
 };
 
-class FaultyProxy final : public Listener::Owner, public Line::Owner {
+class FaultyProxy final : public Listener::Owner, public Connection::Owner {
  public:
   FaultyProxy(const json& config, std::string vice)
       : vice_(std::move(vice)),
-        watch_(loop, *this),
-        listener_(loop, *this, read_address(config.at("listen").get<std::string>()), 0) {
+        discovery_(loop, *this),
+        listener_(loop, *this, parse_address(config.at("listen").get<std::string>()), 0) {
     for (const json& request_class : config.at("settings").at("PathPrefixes"))
-      prefixes_[request_class.at("Name")] = {request_class.at("Idempotency"),
-                                             request_class.at("ClientTimeoutS"),
-                                             request_class.at("MemorySpanS")};
-    warm_after_ = config.at("settings").at("Rules").at("ColdS");
-    note(config.at("known"));
-    watch_.connect(read_address(config.at("discovery").get<std::string>()));
-    watch_.send("GET /v1/servers?watch=1&after=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
+      request_classes_[request_class.at("Name")] = {request_class.at("Idempotency"),
+                                                    request_class.at("ClientTimeoutS"),
+                                                    request_class.at("MemorySpanS")};
+    slow_start_duration_ = config.at("settings").at("Rules").at("ColdS");
+    apply_list(config.at("known"));
+    discovery_.connect(parse_address(config.at("discovery").get<std::string>()));
+    discovery_.send("GET /v1/servers?watch=1&after=0 HTTP/1.1\r\nHost: discovery\r\n\r\n");
   }
   void run() {
     loop.run([] { return false; });
   }
-  void take(Caller& caller, Message message);
-  void attempt(const std::shared_ptr<Request>& request, Target* target);
-  void ended(const std::shared_ptr<Request>& request, int status, const std::string& body, bool never_ran);
-  void answer(const std::shared_ptr<Request>& request, int status, const std::string& body);
-  void let_go(Caller& caller) { bury(callers_, &caller); }
-  void let_go(Attempt& attempt) { bury(attempts_, &attempt); }
-  Loop loop;
+  void handle_request(ClientConnection& client, HttpMessage message);
+  void start_attempt(const std::shared_ptr<Request>& request, Target* target);
+  void handle_attempt_end(const std::shared_ptr<Request>& request, int status, const std::string& body,
+                          bool not_executed);
+  void respond(const std::shared_ptr<Request>& request, int status, const std::string& body);
+  void remove(ClientConnection& client) { erase_entry(clients_, &client); }
+  void remove(Attempt& attempt) { erase_entry(attempts_, &attempt); }
+  EventLoop loop;
 
  private:
   template <typename Map, typename Key>
-  void bury(Map& map, Key* key) {
+  void erase_entry(Map& map, Key* key) {
     auto found = map.extract(key);
-    if (!found.empty()) loop.bury(std::move(found.mapped()));
+    if (!found.empty()) loop.delete_later(std::move(found.mapped()));
   }
-  bool vice(const char* name) const { return vice_ == name; }
+  bool has_vice(const char* name) const { return vice_ == name; }
   void on_accepted(Listener&, int descriptor) override {
-    auto caller = std::make_unique<Caller>(*this, descriptor);
-    Caller* key = caller.get();
-    callers_.emplace(key, std::move(caller));
+    auto client = std::make_unique<ClientConnection>(*this, descriptor);
+    ClientConnection* key = client.get();
+    clients_.emplace(key, std::move(client));
   }
-  void on_bytes(Line&, std::string_view bytes) override;
-  void on_end(Line&, bool) override {}
-  void note(const json& list);
-  Target* choose(const std::function<bool(const Target&)>& fits);
+  void on_bytes(Connection&, std::string_view bytes) override;
+  void on_end(Connection&, bool) override {}
+  void apply_list(const json& list);
+  Target* choose_target(const std::function<bool(const Target&)>& eligible);
 
   const std::string vice_;
-  Line watch_;
+  Connection discovery_;
   Listener listener_;
-  std::string heard_;
-  std::map<std::string, Prefix> prefixes_;
+  std::string received_;
+  std::map<std::string, RequestClass> request_classes_;
   std::map<std::string, Target> targets_;
-  std::map<const Caller*, std::unique_ptr<Caller>> callers_;
+  std::map<const ClientConnection*, std::unique_ptr<ClientConnection>> clients_;
   std::map<const Attempt*, std::unique_ptr<Attempt>> attempts_;
-  double warm_after_ = 5;
+  double slow_start_duration_ = 5;
   int requests_ = 0;
 };
 
@@ -139,60 +142,60 @@
     : target(target),
       proxy_(proxy),
       request_(std::move(request)),
-      line_(proxy.loop, *this),
-      reader_(Reader::Of::Answers) {
-  ++target.out;
-  Message message = request_->message;
+      connection_(proxy.loop, *this),
+      reader_(HttpReader::Kind::Responses) {
+  ++target.pending;
+  HttpMessage message = request_->message;
   std::erase_if(message.headers, [](const auto& header) {
     return header.first == "X-Time-Left" || header.first == "Content-Length" || header.first == "Host";
   });
-  double left = std::max(0.001, request_->deadline - proxy.loop.now());
-  message.headers.emplace_back("X-Time-Left", std::to_string(long(left * 1e6)) + "u");
-  if (!line_.connect(read_address(target.address))) {
-    proxy.loop.at(proxy.loop.now(), [this] { over(502, "", true); });
+  double remaining = std::max(0.001, request_->deadline - proxy.loop.now());
+  message.headers.emplace_back("X-Time-Left", std::to_string(long(remaining * 1e6)) + "u");
+  if (!connection_.connect(parse_address(target.address))) {
+    proxy.loop.call_at(proxy.loop.now(), [this] { finish(502, "", true); });
     return;
   }
-  line_.send(write(message));
+  connection_.send(serialize(message));
 }
-Attempt::~Attempt() { --target.out; }
+Attempt::~Attempt() { --target.pending; }
 
-void Attempt::on_bytes(Line&, std::string_view bytes) {
+void Attempt::on_bytes(Connection&, std::string_view bytes) {
   reader_.feed(bytes);
-  if (reader_.bad()) return over(502, "", false);
-  if (!reader_.whole()) return;
-  Message answer = reader_.take();
-  over(answer.status, answer.body, answer.header("X-Unprocessed") == "1");
+  if (reader_.invalid()) return finish(502, "", false);
+  if (!reader_.complete()) return;
+  HttpMessage response = reader_.take();
+  finish(response.status, response.body, response.header("X-Unprocessed") == "1");
 }
-void Attempt::on_end(Line&, bool) { over(502, "", !line_.written()); }
-void Attempt::over(int status, const std::string& body, bool never_ran) {
-  line_.close();
-  proxy_.ended(request_, status, body, never_ran);
-  proxy_.let_go(*this);
+void Attempt::on_end(Connection&, bool) { finish(502, "", !connection_.all_written()); }
+void Attempt::finish(int status, const std::string& body, bool not_executed) {
+  connection_.close();
+  proxy_.handle_attempt_end(request_, status, body, not_executed);
+  proxy_.remove(*this);
 }
 
-Caller::Caller(FaultyProxy& proxy, int descriptor)
-    : line(proxy.loop, *this), proxy_(proxy), reader_(Reader::Of::Requests) {
-  line.adopt(descriptor);
+ClientConnection::ClientConnection(FaultyProxy& proxy, int descriptor)
+    : connection(proxy.loop, *this), proxy_(proxy), reader_(HttpReader::Kind::Requests) {
+  connection.attach(descriptor);
 }
-void Caller::on_bytes(Line&, std::string_view bytes) {
+void ClientConnection::on_bytes(Connection&, std::string_view bytes) {
   reader_.feed(bytes);
-  if (reader_.whole()) proxy_.take(*this, reader_.take());
+  if (reader_.complete()) proxy_.handle_request(*this, reader_.take());
 }
-void Caller::on_end(Line&, bool) {
-  if (request) request->caller = nullptr;
-  proxy_.let_go(*this);
+void ClientConnection::on_end(Connection&, bool) {
+  if (request) request->client = nullptr;
+  proxy_.remove(*this);
 }
 
-void FaultyProxy::on_bytes(Line&, std::string_view bytes) {
-  heard_ += bytes;
-  for (std::size_t end; (end = heard_.find('\n')) != std::string::npos;) {
-    std::string line = heard_.substr(0, end);
-    heard_.erase(0, end + 1);
-    if (line.starts_with('{')) note(json::parse(line));
+void FaultyProxy::on_bytes(Connection&, std::string_view bytes) {
+  received_ += bytes;
+  for (std::size_t end; (end = received_.find('\n')) != std::string::npos;) {
+    std::string text = received_.substr(0, end);
+    received_.erase(0, end + 1);
+    if (text.starts_with('{')) apply_list(json::parse(text));
   }
 }
 
-void FaultyProxy::note(const json& list) {
+void FaultyProxy::apply_list(const json& list) {
   std::set<std::string> listed;
   for (const json& entry : list.at("endpoints")) {
     std::string name = entry.at("name"), status = entry.at("status");
@@ -203,101 +206,106 @@
     target.address = entry.at("address");
     target.group = entry.at("group");
     target.ready = status == "active";
-    target.since = entry.at("since_ms").get<double>() / 1000;
+    target.listed_since = entry.at("since_ms").get<double>() / 1000;
   }
   if (!list.at("snapshot").get<bool>()) return;
   for (auto& [name, target] : targets_) target.ready = target.ready && listed.contains(name);
 }
 
-Target* FaultyProxy::choose(const std::function<bool(const Target&)>& fits) {
+Target* FaultyProxy::choose_target(const std::function<bool(const Target&)>& eligible) {
   Target* best = nullptr;
   double now = double(time(nullptr));
-  // An endpoint in slow start is chosen only where there is no other; the vice turns that round.
+  // Endpoints in slow start are chosen only if there is no other; the vice "floods-cold" prefers them.
   auto rank = [&](const Target& target) {
-    bool fresh = now - target.since < warm_after_ + 1;
-    return std::make_pair(vice("floods-cold") ? !fresh : fresh, target.out);
+    bool in_slow_start = now - target.listed_since < slow_start_duration_ + 1;
+    return std::make_pair(has_vice("floods-cold") ? !in_slow_start : in_slow_start, target.pending);
   };
   for (auto& [name, target] : targets_) {
-    if (!target.ready && !vice("ignores-drains")) continue;
-    if (fits(target) && (!best || rank(target) < rank(*best))) best = &target;
+    if (!target.ready && !has_vice("ignores-drains")) continue;
+    if (eligible(target) && (!best || rank(target) < rank(*best))) best = &target;
   }
   return best;
 }
 
-void FaultyProxy::take(Caller& caller, Message message) {
-  if (message.target == "/healthz") return caller.answer(200, "ready\n");
-  auto request_class = prefixes_.find(message.target.substr(1, message.target.find('/', 1) - 1));
-  if (request_class == prefixes_.end() || message.header("X-Correlation-Id").empty())
-    return caller.answer(404, "");
+void FaultyProxy::handle_request(ClientConnection& client, HttpMessage message) {
+  if (message.target == "/healthz") return client.send_response(200, "ready\n");
+  auto request_class = request_classes_.find(message.target.substr(1, message.target.find('/', 1) - 1));
+  if (request_class == request_classes_.end() || message.header("X-Correlation-Id").empty())
+    return client.send_response(404, "");
   auto request = std::make_shared<Request>();
-  double left = std::atof(std::string(message.header("X-Time-Left")).c_str()) * 1e-6;
-  request->deadline =
-      loop.now() + (left > 0 ? std::min(left, request_class->second.timeout) : request_class->second.timeout);
-  request->kind = request_class->second.kind;
-  request->memory = request_class->second.memory;
+  double remaining = std::atof(std::string(message.header("X-Time-Left")).c_str()) * 1e-6;
+  request->deadline = loop.now() + (remaining > 0 ? std::min(remaining, request_class->second.timeout)
+                                                  : request_class->second.timeout);
+  request->idempotency = request_class->second.idempotency;
+  request->idempotency_window = request_class->second.idempotency_window;
   request->message = std::move(message);
-  request->caller = &caller;
+  request->client = &client;
   request->number = ++requests_;
-  caller.request = request;
-  bool falls = request->number % kOneIn == 0;
-  if (falls && vice("loses-one")) {
-    loop.at(loop.now() + 0.03, [this, request] {
-      if (request->answered || !request->caller) return;
-      Caller& caller = *std::exchange(request->caller, nullptr);
-      caller.line.close();
-      let_go(caller);
+  client.request = request;
+  bool affected = request->number % kAffectedInterval == 0;
+  if (affected && has_vice("loses-one")) {
+    loop.call_at(loop.now() + 0.03, [this, request] {
+      if (request->responded || !request->client) return;
+      ClientConnection& client = *std::exchange(request->client, nullptr);
+      client.connection.close();
+      remove(client);
     });
     return;
   }
-  Target* target = choose([](const Target&) { return true; });
-  if (!target) return answer(request, 503, "");
-  double end = request->deadline - kInTime;
-  loop.at(end, [this, request] { answer(request, 502, "out of time\n"); });
-  attempt(request, target);
-  Target* other = nullptr;
-  if (request->kind == "once" && falls && vice("reruns-mutating"))
-    other = choose([&](const Target& one) { return &one != target; });
-  if (request->kind == "by_key" && falls && vice("strays-tagged"))
-    other = choose([&](const Target& one) { return one.group != target->group; });
-  if (other) loop.at(loop.now() + 0.002, [this, request, other] { attempt(request, other); });
-  if (request->kind == "by_key" && falls && vice("forgets-tagged"))
-    loop.at(loop.now() + request->memory + 0.15, [this, request, target] { attempt(request, target); });
+  Target* target = choose_target([](const Target&) { return true; });
+  if (!target) return respond(request, 503, "");
+  double respond_by = request->deadline - kDeadlineMargin;
+  loop.call_at(respond_by, [this, request] { respond(request, 502, "out of time\n"); });
+  start_attempt(request, target);
+  Target* second_target = nullptr;
+  if (request->idempotency == "once" && affected && has_vice("reruns-mutating"))
+    second_target = choose_target([&](const Target& candidate) { return &candidate != target; });
+  if (request->idempotency == "by_key" && affected && has_vice("strays-tagged"))
+    second_target = choose_target([&](const Target& candidate) { return candidate.group != target->group; });
+  if (second_target)
+    loop.call_at(loop.now() + 0.002,
+                 [this, request, second_target] { start_attempt(request, second_target); });
+  if (request->idempotency == "by_key" && affected && has_vice("forgets-tagged"))
+    loop.call_at(loop.now() + request->idempotency_window + 0.15,
+                 [this, request, target] { start_attempt(request, target); });
 }
 
-void FaultyProxy::attempt(const std::shared_ptr<Request>& request, Target* target) {
+void FaultyProxy::start_attempt(const std::shared_ptr<Request>& request, Target* target) {
   ++request->attempts;
-  auto made = std::make_unique<Attempt>(*this, request, *target);
-  Attempt* key = made.get();
-  attempts_.emplace(key, std::move(made));
+  auto attempt = std::make_unique<Attempt>(*this, request, *target);
+  Attempt* key = attempt.get();
+  attempts_.emplace(key, std::move(attempt));
 }
 
-void FaultyProxy::ended(const std::shared_ptr<Request>& request, int status, const std::string& body,
-                        bool never_ran) {
-  if (request->answered) return;
-  request->may_have_run |= !never_ran;
-  if (status == 200) return answer(request, 200, body);
-  answer(request, request->may_have_run ? 502 : 503, "");
+void FaultyProxy::handle_attempt_end(const std::shared_ptr<Request>& request, int status,
+                                     const std::string& body, bool not_executed) {
+  if (request->responded) return;
+  request->may_have_run |= !not_executed;
+  if (status == 200) return respond(request, 200, body);
+  respond(request, request->may_have_run ? 502 : 503, "");
 }
 
-void FaultyProxy::answer(const std::shared_ptr<Request>& request, int status, const std::string& body) {
-  if (request->answered || !request->caller) return;
-  if (vice("answers-late") && request->number % kOneIn == 0 && loop.now() < request->deadline + 0.1) {
-    loop.at(request->deadline + 0.12, [this, request, status, body] { answer(request, status, body); });
+void FaultyProxy::respond(const std::shared_ptr<Request>& request, int status, const std::string& body) {
+  if (request->responded || !request->client) return;
+  if (has_vice("answers-late") && request->number % kAffectedInterval == 0 &&
+      loop.now() < request->deadline + 0.1) {
+    loop.call_at(request->deadline + 0.12, [this, request, status, body] { respond(request, status, body); });
     return;
   }
-  request->answered = true;
-  Caller* caller = request->caller;
-  caller->answer(status, body);
-  if (vice("answers-twice") && request->number % kOneIn == 0) caller->answer(status, body);
+  request->responded = true;
+  ClientConnection* client = request->client;
+  client->send_response(status, body);
+  if (has_vice("answers-twice") && request->number % kAffectedInterval == 0)
+    client->send_response(status, body);
 }
 
 }  // namespace
 }  // namespace load_test
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   using namespace load_test;
   std::signal(SIGPIPE, SIG_IGN);
-  if (count != 2 || !kVices.contains(words[1])) {
+  if (argc != 2 || !kVices.contains(argv[1])) {
     std::cerr << "puffinvane_faulty_proxy VICE, one of:";
     for (const std::string& vice : kVices) std::cerr << " " << vice;
     std::cerr << std::endl;
@@ -306,9 +314,9 @@
   const char* file = std::getenv("BALANCER_CONFIG");
   std::ifstream in(file ? file : "");
   try {
-    FaultyProxy(nlohmann::json::parse(in), words[1]).run();
-  } catch (const std::exception& fault) {
-    std::cerr << fault.what() << std::endl;
+    FaultyProxy(nlohmann::json::parse(in), argv[1]).run();
+  } catch (const std::exception& error) {
+    std::cerr << error.what() << std::endl;
     return 1;
   }
 }
--- a/tools/load_test/loop/http.cpp
+++ b/tools/load_test/loop/http.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::size_t kMostHead = 32 * 1024, kMostBody = 16u << 20;
+constexpr std::size_t kMaxHeadSize = 32 * 1024, kMaxBodySize = 16u << 20;
 
-bool same(std::string_view one, std::string_view other) {
+bool equals_ignore_case(std::string_view one, std::string_view other) {
   return one.size() == other.size() && strncasecmp(one.data(), other.data(), one.size()) == 0;
 }
 
 template <typename Number>
-bool number(std::string_view text, Number& value, int base = 10) {
+bool parse_number(std::string_view text, Number& value, int base = 10) {
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   return !text.empty() && error == std::errc() && end == text.data() + text.size();
 }
@@ -29,14 +29,14 @@
 
 }  // namespace
 
-std::string_view Message::header(std::string_view name) const {
+std::string_view HttpMessage::header(std::string_view name) const {
   for (const auto& [key, value] : headers) {
-    if (same(key, name)) return value;
+    if (equals_ignore_case(key, name)) return value;
   }
   return {};
 }
 
-std::string write(const Message& message) {
+std::string serialize(const HttpMessage& message) {
   std::string out = message.status ? "HTTP/1.1 " + std::to_string(message.status) + " Said\r\n"
                                    : message.method + " " + message.target + " HTTP/1.1\r\nHost: origin\r\n";
   for (const auto& [key, value] : message.headers) out += key + ": " + value + "\r\n";
@@ -46,115 +46,117 @@
   return out + "\r\n" + message.body;
 }
 
-std::size_t Reader::feed(std::string_view bytes) {
-  std::size_t used = 0;
-  while (used < bytes.size() && state_ != State::Whole && state_ != State::Bad) {
-    std::string_view rest = bytes.substr(used);
+std::size_t HttpReader::feed(std::string_view bytes) {
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && state_ != State::Complete && state_ != State::Invalid) {
+    std::string_view rest = bytes.substr(consumed);
     if (state_ == State::Head) {
       std::size_t before = head_.size();
       head_ += rest;
       std::size_t end = head_.find("\r\n\r\n", before < 3 ? 0 : before - 3);
       if (end == std::string::npos) {
-        if (head_.size() > kMostHead) state_ = State::Bad;
+        if (head_.size() > kMaxHeadSize) state_ = State::Invalid;
         return bytes.size();
       }
-      used += end + 4 - before;
+      consumed += end + 4 - before;
       head_.resize(end + 2);
-      read_head();
-    } else if (state_ == State::Body || state_ == State::Chunk || state_ == State::ToEnd) {
-      std::size_t count = state_ == State::ToEnd ? rest.size() : std::min(left_, rest.size());
+      parse_head();
+    } else if (state_ == State::Body || state_ == State::Chunk || state_ == State::UntilClose) {
+      std::size_t count = state_ == State::UntilClose ? rest.size() : std::min(body_remaining_, rest.size());
       message_.body += rest.substr(0, count);
-      used += count;
-      left_ -= state_ == State::ToEnd ? 0 : count;
-      if (message_.body.size() > kMostBody) state_ = State::Bad;
-      else if (left_ == 0 && state_ == State::Body) state_ = State::Whole;
-      else if (left_ == 0 && state_ == State::Chunk) state_ = State::ChunkSize;
-    } else if (line(rest, used)) {
-      chunk_line();
+      consumed += count;
+      body_remaining_ -= state_ == State::UntilClose ? 0 : count;
+      if (message_.body.size() > kMaxBodySize) state_ = State::Invalid;
+      else if (body_remaining_ == 0 && state_ == State::Body) state_ = State::Complete;
+      else if (body_remaining_ == 0 && state_ == State::Chunk) state_ = State::ChunkSize;
+    } else if (read_line(rest, consumed)) {
+      parse_chunk_line();
     }
   }
-  return used;
+  return consumed;
 }
 
-bool Reader::line(std::string_view& bytes, std::size_t& used) {
+bool HttpReader::read_line(std::string_view& bytes, std::size_t& consumed) {
   std::size_t end = bytes.find('\n');
   line_ += bytes.substr(0, end == std::string_view::npos ? end : end + 1);
-  used += end == std::string_view::npos ? bytes.size() : end + 1;
-  if (line_.size() > kMostHead) state_ = State::Bad;
+  consumed += end == std::string_view::npos ? bytes.size() : end + 1;
+  if (line_.size() > kMaxHeadSize) state_ = State::Invalid;
   return end != std::string_view::npos;
 }
 
-void Reader::chunk_line() {
+void HttpReader::parse_chunk_line() {
   std::string line = std::exchange(line_, {});
-  if (!line.ends_with("\r\n")) return void(state_ = State::Bad);
+  if (!line.ends_with("\r\n")) return void(state_ = State::Invalid);
   line.resize(line.size() - 2);
   if (state_ == State::Trailer) {
-    if (line.empty()) state_ = State::Whole;
+    if (line.empty()) state_ = State::Complete;
     return;
   }
-  if (line.empty() && !message_.body.empty()) return;  // the end of the chunk before
-  if (!number(std::string_view(line).substr(0, line.find(';')), left_, 16)) return void(state_ = State::Bad);
-  state_ = left_ == 0 ? State::Trailer : State::Chunk;
+  if (line.empty() && !message_.body.empty()) return;  // the line end after the previous chunk
+  if (!parse_number(std::string_view(line).substr(0, line.find(';')), body_remaining_, 16))
+    return void(state_ = State::Invalid);
+  state_ = body_remaining_ == 0 ? State::Trailer : State::Chunk;
 }
 
-void Reader::read_head() {
-  state_ = State::Bad;
+void HttpReader::parse_head() {
+  state_ = State::Invalid;
   std::string_view rest = head_;
-  auto next = [&] {
+  auto next_line = [&] {
     std::size_t end = rest.find("\r\n");
     std::string_view found = rest.substr(0, end);
     rest.remove_prefix(end + 2);
     return found;
   };
-  std::string_view first = next();
-  std::size_t one = first.find(' '), two = first.find(' ', one + 1);
-  if (one == std::string_view::npos) return;
-  if (of_ == Of::Requests) {
-    if (two == std::string_view::npos || first.substr(two + 1) != "HTTP/1.1") return;
-    message_.method = std::string(first.substr(0, one));
-    message_.target = std::string(first.substr(one + 1, two - one - 1));
-  } else if (!first.starts_with("HTTP/1.") || !number(first.substr(one + 1, 3), message_.status)) {
+  std::string_view first = next_line();
+  std::size_t first_space = first.find(' '), second_space = first.find(' ', first_space + 1);
+  if (first_space == std::string_view::npos) return;
+  if (kind_ == Kind::Requests) {
+    if (second_space == std::string_view::npos || first.substr(second_space + 1) != "HTTP/1.1") return;
+    message_.method = std::string(first.substr(0, first_space));
+    message_.target = std::string(first.substr(first_space + 1, second_space - first_space - 1));
+  } else if (!first.starts_with("HTTP/1.") ||
+             !parse_number(first.substr(first_space + 1, 3), message_.status)) {
     return;
   }
   bool chunked = false, length = false;
   while (!rest.empty()) {
-    std::string_view header = next();
+    std::string_view header = next_line();
     std::size_t colon = header.find(':');
     if (colon == std::string_view::npos || colon == 0) return;
     std::string_view name = header.substr(0, colon), value = trimmed(header.substr(colon + 1));
     message_.headers.emplace_back(name, value);
-    if (same(name, "Transfer-Encoding")) chunked = same(value, "chunked");
-    if (same(name, "Connection") && same(value, "close")) message_.close = true;
-    if (!same(name, "Content-Length")) continue;
-    if (length || !number(value, left_)) return;
+    if (equals_ignore_case(name, "Transfer-Encoding")) chunked = equals_ignore_case(value, "chunked");
+    if (equals_ignore_case(name, "Connection") && equals_ignore_case(value, "close")) message_.close = true;
+    if (!equals_ignore_case(name, "Content-Length")) continue;
+    if (length || !parse_number(value, body_remaining_)) return;
     length = true;
   }
   if (chunked && length) return;
   head_.clear();
-  if (of_ == Of::Answers && message_.status / 100 == 1) {
-    message_ = Message();
+  if (kind_ == Kind::Responses && message_.status / 100 == 1) {
+    message_ = HttpMessage();
     state_ = State::Head;
-    left_ = 0;
+    body_remaining_ = 0;
   } else if (chunked) {
     state_ = State::ChunkSize;
-  } else if (!length && of_ == Of::Answers) {
-    state_ = State::ToEnd;
+  } else if (!length && kind_ == Kind::Responses) {
+    state_ = State::UntilClose;
   } else {
-    state_ = left_ > 0 ? State::Body : State::Whole;
+    state_ = body_remaining_ > 0 ? State::Body : State::Complete;
   }
 }
 
-void Reader::ended() {
-  if (state_ == State::ToEnd) state_ = State::Whole;
+void HttpReader::connection_closed() {
+  if (state_ == State::UntilClose) state_ = State::Complete;
 }
 
-Message Reader::take() {
-  Message taken = std::exchange(message_, {});
+HttpMessage HttpReader::take() {
+  HttpMessage result = std::exchange(message_, {});
   state_ = State::Head;
-  left_ = 0;
+  body_remaining_ = 0;
   head_.clear();
   line_.clear();
-  return taken;
+  return result;
 }
 
 }  // namespace load_test
--- a/tools/load_test/loop/http.h
+++ b/tools/load_test/loop/http.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 as the stand-ins speak it: a second, strict reading, so that a fault of the program's own parser
-// can't hide behind the same fault on the other side.
+// HTTP/1.1 for the stand-ins: a strict implementation that is independent of the program under test, so that
+// a fault in that program's parser is not hidden by the same fault here.
 #pragma once
 
 #include <string>
@@ -9,40 +9,42 @@
 
 namespace load_test {
 
-struct Message {
-  std::string method, target;  // of a request
-  int status = 0;              // of an answer
+struct HttpMessage {
+  std::string method, target;  // of requests
+  int status = 0;              // of responses; 0 for requests
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
   bool close = false;
 
-  std::string_view header(std::string_view name) const;  // empty: not there
+  std::string_view header(std::string_view name) const;  // empty if the header is missing
 };
 
-std::string write(const Message& message);  // with Content-Length; an answer where status is set
+// Adds Content-Length. A message with a status is a response.
+std::string serialize(const HttpMessage& message);
 
-class Reader {
+class HttpReader {
  public:
-  enum class Of { Requests, Answers };
-  explicit Reader(Of of) : of_(of) {}
-  std::size_t feed(std::string_view bytes);  // how many it used; takes no more after a whole message
-  void ended();                              // of the connection: ends an answer without a length
-  bool whole() const { return state_ == State::Whole; }
-  bool bad() const { return state_ == State::Bad; }
-  bool begun() const { return state_ != State::Head || !head_.empty(); }
-  Message take();
+  enum class Kind { Requests, Responses };
+  explicit HttpReader(Kind kind) : kind_(kind) {}
+  // Returns the number of bytes consumed; consumes none after a complete message.
+  std::size_t feed(std::string_view bytes);
+  void connection_closed();  // ends a response that has no length
+  bool complete() const { return state_ == State::Complete; }
+  bool invalid() const { return state_ == State::Invalid; }
+  bool started() const { return state_ != State::Head || !head_.empty(); }
+  HttpMessage take();
 
  private:
-  enum class State { Head, Body, ChunkSize, Chunk, Trailer, ToEnd, Whole, Bad };
-  void read_head();
-  bool line(std::string_view& bytes, std::size_t& used);
-  void chunk_line();
+  enum class State { Head, Body, ChunkSize, Chunk, Trailer, UntilClose, Complete, Invalid };
+  void parse_head();
+  bool read_line(std::string_view& bytes, std::size_t& consumed);
+  void parse_chunk_line();
 
-  Of of_;
+  Kind kind_;
   State state_ = State::Head;
   std::string head_, line_;
-  std::size_t left_ = 0;
-  Message message_;
+  std::size_t body_remaining_ = 0;
+  HttpMessage message_;
 };
 
 }  // namespace load_test
--- a/tools/load_test/parallel_runs.cpp
+++ b/tools/load_test/parallel_runs.cpp
@@ -12,36 +12,36 @@
 
 namespace load_test {
 
-std::string own_path() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
-std::string own_folder() { return std::filesystem::path(own_path()).parent_path().string(); }
+std::string program_path() { return std::filesystem::read_symlink("/proc/self/exe").string(); }
+std::string program_folder() { return std::filesystem::path(program_path()).parent_path().string(); }
 
-void play(std::vector<Job>& jobs, int lanes, const std::function<void(Job&)>& done) {
+void run_jobs(std::vector<Job>& jobs, int parallel, const std::function<void(Job&)>& done) {
   std::map<pid_t, Job*> running;
-  std::string program = own_path();
+  std::string program = program_path();
   std::size_t next = 0;
   while (next < jobs.size() || !running.empty()) {
-    if (next < jobs.size() && int(running.size()) < lanes) {
+    if (next < jobs.size() && int(running.size()) < parallel) {
       Job& job = jobs[next++];
-      std::vector<char*> words{program.data()};
-      for (std::string& word : job.arguments) words.push_back(word.data());
-      words.push_back(nullptr);
+      std::vector<char*> argv{program.data()};
+      for (std::string& argument : job.arguments) argv.push_back(argument.data());
+      argv.push_back(nullptr);
       pid_t child = fork();
-      if (child < 0) throw std::runtime_error("can't start a run");
+      if (child < 0) throw std::runtime_error("cannot start a run");
       if (child == 0) {
         prctl(PR_SET_PDEATHSIG, SIGTERM);
-        int nowhere = open("/dev/null", O_WRONLY);
-        dup2(nowhere, 1);
-        execv(program.c_str(), words.data());
+        int null_device = open("/dev/null", O_WRONLY);
+        dup2(null_device, 1);
+        execv(program.c_str(), argv.data());
         _exit(127);
       }
       running[child] = &job;
       continue;
     }
     int status = 0;
-    pid_t ended = waitpid(-1, &status, 0);
-    auto found = running.find(ended);
+    pid_t pid = waitpid(-1, &status, 0);
+    auto found = running.find(pid);
     if (found == running.end()) continue;
-    found->second->exit = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    found->second->exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
     done(*found->second);
     running.erase(found);
   }
--- a/tools/load_test/parallel_runs.h
+++ b/tools/load_test/parallel_runs.h
@@ -1,4 +1,4 @@
-// Many runs of this program side by side, a few at a time, each in a process of its own.
+// Runs this program many times, in a limited number of parallel processes.
 #pragma once
 
 #include <functional>
@@ -8,12 +8,12 @@
 namespace load_test {
 
 struct Job {
-  std::vector<std::string> arguments;  // of this program
-  int exit = -1;                       // 128 + the signal, if one ended it
+  std::vector<std::string> arguments;  // of the command line, without the program
+  int exit_code = -1;                  // 128 + signal number if a signal ended the process
 };
-// 'done' is called as each ends, in the order of their ends.
-void play(std::vector<Job>& jobs, int lanes, const std::function<void(Job&)>& done);
-std::string own_path();
-std::string own_folder();
+// Calls 'done' for each job as it ends.
+void run_jobs(std::vector<Job>& jobs, int parallel, const std::function<void(Job&)>& done);
+std::string program_path();
+std::string program_folder();
 
 }  // namespace load_test
--- a/tools/load_test/report/compare.h
+++ b/tools/load_test/report/compare.h
@@ -1,5 +1,5 @@
-// Results side by side: means with the 95% interval of Student's t, and differences by pairs of the same
-// scenario and seed.
+// Compares results: means with 95% confidence intervals (Student's t), and the differences between sidecars
+// over pairs of runs with the same scenario and seed.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,12 +10,13 @@
 namespace load_test {
 
 struct Estimate {
-  double mean = 0, half = 0;  // half of the interval's width; infinite with fewer than two values
+  // half_width: half of the width of the confidence interval; infinite with fewer than two values.
+  double mean = 0, half_width = 0;
   int count = 0;
 };
 Estimate estimate(const std::vector<double>& values);
 
-// Throws std::runtime_error on what is no result.
+// Throws std::runtime_error if a result does not have the expected fields.
 void compare(const std::vector<nlohmann::json>& results, std::ostream& out);
 
 }  // namespace load_test
--- a/tools/load_test/report/html_report.h
+++ b/tools/load_test/report/html_report.h
@@ -1,4 +1,4 @@
-// A run as one HTML page that needs nothing beside it: plots as SVG, the scenario's troubles as bands.
+// A self-contained HTML page about a run, with SVG plots that mark the faults as bands.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,6 +6,6 @@
 
 namespace load_test {
 
-std::string page_of(const nlohmann::json& result);
+std::string html_report(const nlohmann::json& result);
 
 }  // namespace load_test
--- a/tools/load_test/report/run_metrics.h
+++ b/tools/load_test/report/run_metrics.h
@@ -1,5 +1,6 @@
-// A run in figures: service as its users define it, latencies, what it cost. Fed by the same events as the
-// invariant checker and by what became of each client's request.
+// Metrics of a run: service (the share of the value on offer that was earned), latencies, and the attempts
+// that were needed. Computed from the events of the invariant checker and the outcomes of the clients'
+// requests.
 #pragma once
 
 #include <map>
@@ -13,36 +14,37 @@
 
 namespace load_test {
 
-// Seconds at a share of the sorted list; 0 if it is empty.
+// The value at this share of the sorted list; 0 if the list is empty. Reorders the list.
 double percentile(std::vector<double>& values, double share);
 
-class Figures final : public Observer {
+class RunMetrics final : public Observer {
  public:
-  explicit Figures(const Scenario& scenario) : scenario_(scenario) {}
-  void begin(double at) { began_ = at; }
+  explicit RunMetrics(const Scenario& scenario) : scenario_(scenario) {}
+  void set_start(double at) { start_ = at; }
   void observe(const Event& event) override;
-  void note(const Fate& fate);
+  void record(const RequestOutcome& outcome);
   nlohmann::json json() const;
 
  private:
-  struct Served {
-    double asked = 0, earned = 0;
-    double share() const { return asked > 0 ? earned / asked : 1; }
+  struct ValueSum {
+    double offered = 0, earned = 0;
+    double share() const { return offered > 0 ? earned / offered : 1; }
   };
   bool first_tier(const Event& event) const {
     return event.sidecar >= 0 && event.sidecar < scenario_.sidecars;
   }
 
   const Scenario& scenario_;
-  double began_ = 0;
-  Served all_;
-  std::map<int, Served> by_prefix_, by_customer_, by_window_;
+  double start_ = 0;
+  ValueSum total_;
+  std::map<int, ValueSum> by_class_, by_tenant_, by_window_;
   std::map<int, std::vector<double>> latencies_;  // by request class
   std::map<int, std::vector<double>> latencies_by_window_;
-  std::map<int, int> ends_;
-  int requests_ = 0, tries_ = 0, taken_ = 0, attempts_ = 0, hedges_ = 0, turned_away_ = 0, effects_ = 0;
-  std::map<int, std::map<int, double>> loads_;  // by endpoint and window: work sent
-  std::unordered_map<std::string, int> out_;    // attempts in hand, by request
+  std::map<int, int> outcomes_;
+  int requests_ = 0, tries_ = 0, requests_sent_ = 0, attempts_ = 0, hedges_ = 0, attempts_refused_ = 0,
+      effects_ = 0;
+  std::map<int, std::map<int, double>> work_sent_;  // seconds of work sent, by endpoint and window
+  std::unordered_map<std::string, int> in_flight_;  // pending attempts, by request
 };
 
 }  // namespace load_test
--- a/tools/load_test/run.cpp
+++ b/tools/load_test/run.cpp
@@ -15,56 +15,59 @@
 
 namespace {
 
-constexpr double kReadyWithin = 20;  // seconds for all sidecars to start
-constexpr double kCheckEvery = 0.01;
-constexpr double kLookEvery = 0.02;
-constexpr double kAfterwards = 0.6;  // until what comes too late has come as well
-constexpr double kLate = 0.05;       // share of a run without a core that makes its figures worth little
-
-class Both final : public Observer {
+constexpr double kStartTimeout = 20;  // seconds until all sidecars have to be ready
+constexpr double kCheckInterval = 0.01;
+constexpr double kPollInterval = 0.02;
+// Seconds after the last request in which late responses and repeated executions are still observed.
+constexpr double kLateEventWait = 0.6;
+// If the load test had no core for more than this share of the run, its metrics are unreliable.
+constexpr double kMaxStallShare = 0.05;
+
+class ObserverPair final : public Observer {
  public:
-  Both(InvariantChecker& checker, Figures& figures) : checker_(checker), figures_(figures) {}
+  ObserverPair(InvariantChecker& checker, RunMetrics& metrics) : checker_(checker), metrics_(metrics) {}
   void observe(const Event& event) override {
     checker_.observe(event);
-    figures_.observe(event);
+    metrics_.observe(event);
   }
 
  private:
   InvariantChecker& checker_;
-  Figures& figures_;
+  RunMetrics& metrics_;
 };
 
-class Folder {
+class TemporaryFolder {
  public:
-  explicit Folder(bool keep) : keep_(keep) {
+  explicit TemporaryFolder(bool keep) : keep_(keep) {
     const char* base = std::getenv("TMPDIR");
-    std::string made = std::string(base && *base ? base : "/tmp") + "/rehearse-XXXXXX";
-    if (!mkdtemp(made.data())) throw std::runtime_error("no folder for the sidecars' files");
-    path = made;
+    std::string template_path = std::string(base && *base ? base : "/tmp") + "/rehearse-XXXXXX";
+    if (!mkdtemp(template_path.data()))
+      throw std::runtime_error("cannot create a temporary folder for the sidecars' files");
+    path = template_path;
   }
-  ~Folder() {
+  ~TemporaryFolder() {
     std::error_code ignored;
     if (!keep_) std::filesystem::remove_all(path, ignored);
   }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   std::string path;
 
  private:
   bool keep_;
 };
 
-struct Beat {
-  Loop& loop;
-  double every;
-  std::function<void()> what;
-  void begin() {
-    what();
-    loop.at(loop.now() + every, [this] { begin(); });
+struct PeriodicTask {
+  EventLoop& loop;
+  double interval;
+  std::function<void()> task;
+  void run() {
+    task();
+    loop.call_at(loop.now() + interval, [this] { run(); });
   }
 };
 
-nlohmann::json json_of(const Breach& breach) {
+nlohmann::json breach_json(const Breach& breach) {
   return {{"rule", name_of(breach.rule)},
           {"at", breach.at},
           {"visit", breach.request},
@@ -76,51 +79,55 @@
 
 nlohmann::json run(const RunPlan& plan) {
   const Scenario& scenario = plan.scenario;
-  Loop loop;
-  Folder folder(plan.keep_logs);
+  EventLoop loop;
+  TemporaryFolder folder(plan.keep_logs);
   InvariantChecker checker(scenario.bounds());
-  Figures figures(scenario);
-  Both observer(checker, figures);
-  World world{loop, scenario, observer, Chance(plan.seed, 11), plan.seed << 32};
-  std::vector<Arrival> arrivals = draw_arrivals(scenario, plan.seed);
-  std::uint64_t print = print_of(arrivals, scenario);
-  int before = usage_of(getpid()).descriptors;
+  RunMetrics metrics(scenario);
+  ObserverPair observer(checker, metrics);
+  RunContext context{loop, scenario, observer, RandomSource(plan.seed, 11), plan.seed << 32};
+  std::vector<Arrival> arrivals = generate_arrivals(scenario, plan.seed);
+  std::uint64_t hash = schedule_hash(arrivals, scenario);
+  int descriptors_before = usage_of(getpid()).descriptors;
   nlohmann::json result;
   {
-    Clients clients(world, std::move(arrivals), [&](const Fate& fate) { figures.note(fate); });
-    Fleet fleet(world, plan.command, folder.path, plan.seed);
-    std::vector<Address> fronts = fleet.front_addresses();
-    for (std::size_t i = 0; i < fronts.size(); ++i) clients.add_sidecar(fronts[i], int(i));
-    Beat check{loop, kCheckEvery, [&] { checker.advance(loop.since()); }};
-    Beat look{loop, kLookEvery, [&] { fleet.look(); }};
+    Clients clients(context, std::move(arrivals),
+                    [&](const RequestOutcome& outcome) { metrics.record(outcome); });
+    Fleet fleet(context, plan.command, folder.path, plan.seed);
+    std::vector<Address> addresses = fleet.front_addresses();
+    for (std::size_t i = 0; i < addresses.size(); ++i) clients.add_sidecar(addresses[i], int(i));
+    PeriodicTask check{loop, kCheckInterval, [&] { checker.advance(loop.earliest_event_time()); }};
+    PeriodicTask poll{loop, kPollInterval, [&] { fleet.poll(); }};
     fleet.start();
-    check.begin();
-    look.begin();
-    double give_up = loop.now() + kReadyWithin;
+    check.run();
+    poll.run();
+    double give_up = loop.now() + kStartTimeout;
     loop.run([&] { return fleet.ready() || loop.now() > give_up || !checker.breaches().empty(); });
-    double began = loop.now(), stalled = loop.stalled();
-    checker.begin(began);
-    figures.begin(began);
+    double start = loop.now(), stalled = loop.stalled_seconds();
+    checker.set_start(start);
+    metrics.set_start(start);
     bool ready = fleet.ready();
     if (ready) {
-      clients.begin();
-      fleet.begin(clients);
-      double longest = 0, last = scenario.length;
+      clients.start();
+      fleet.start_faults(clients);
+      double longest_timeout = 0, last_fault_end = scenario.length;
       for (const ClassPlan& request_class : scenario.request_classes)
-        longest = std::max(longest, request_class.client_timeout);
+        longest_timeout = std::max(longest_timeout, request_class.client_timeout);
       for (const Fault& fault : scenario.faults)
-        last = std::max(last,
-                        std::min(scenario.length, fault.at + fault.span + (fault.times - 1) * fault.every));
-      double least = began + last, most = least + (scenario.clients.retries + 1) * (longest + 1) + 3;
-      loop.run([&] { return (clients.done() && loop.now() > least) || loop.now() > most; });
-      double end = loop.now() + kAfterwards;
+        last_fault_end = std::max(
+            last_fault_end,
+            std::min(scenario.length, fault.at + fault.duration + (fault.repetitions - 1) * fault.interval));
+      double earliest_end = start + last_fault_end,
+             latest_end = earliest_end + (scenario.clients.retries + 1) * (longest_timeout + 1) + 3;
+      loop.run([&] { return (clients.done() && loop.now() > earliest_end) || loop.now() > latest_end; });
+      double end = loop.now() + kLateEventWait;
       loop.run([&] { return loop.now() > end; });
     }
     checker.finish(loop.now());
-    result = figures.json();
-    double ran = loop.now() - began;
-    stalled = loop.stalled() - stalled;
-    result["rehearsal"] = {{"seconds", ran}, {"stalled_s", stalled}, {"late", stalled > kLate * ran}};
+    result = metrics.json();
+    double duration = loop.now() - start;
+    stalled = loop.stalled_seconds() - stalled;
+    result["rehearsal"] = {
+        {"seconds", duration}, {"stalled_s", stalled}, {"late", stalled > kMaxStallShare * duration}};
     result["sidecars"] = nlohmann::json::array();
     double cpu = 0;
     for (const auto& sidecar : fleet.sidecars()) {
@@ -128,11 +135,11 @@
                                     {"tier", sidecar->tier()},
                                     {"starts", sidecar->starts()},
                                     {"cpu_s", sidecar->cpu()},
-                                    {"memory_mb", sidecar->most().memory / 1048576},
-                                    {"descriptors", sidecar->most().descriptors}});
+                                    {"memory_mb", sidecar->peak_usage().memory / 1048576},
+                                    {"descriptors", sidecar->peak_usage().descriptors}});
       if (scenario.sites) {
-        result["sidecars"].back()["reloads"] = sidecar->logged("site.reloaded");
-        result["sidecars"].back()["kept"] = sidecar->logged("site.kept");
+        result["sidecars"].back()["reloads"] = sidecar->count_log_lines("site.reloaded");
+        result["sidecars"].back()["kept"] = sidecar->count_log_lines("site.kept");
       }
       cpu += sidecar->tier() == 0 ? sidecar->cpu() : 0;
     }
@@ -148,10 +155,10 @@
       }
     }
     result["ready"] = ready;
-    if (scenario.clients.bad_rate > 0) {
-      result["bad_callers"] = {{"came", clients.bad_callers()},
-                               {"unanswered", clients.bad_unanswered()},
-                               {"served", clients.bad_served()}};
+    if (scenario.clients.invalid_rate > 0) {
+      result["bad_callers"] = {{"came", clients.invalid_clients()},
+                               {"unanswered", clients.invalid_unanswered()},
+                               {"served", clients.invalid_served()}};
     }
   }
   result["script"] = scenario.name;
@@ -160,19 +167,19 @@
   result["label"] = plan.label;
   result["length"] = scenario.length;
   std::ostringstream hex;
-  hex << std::hex << print;
+  hex << std::hex << hash;
   result["schedule"] = hex.str();
   result["faults"] = nlohmann::json::array();
   for (const Fault& fault : scenario.faults) {
-    for (int i = 0; i < std::min(fault.times, 50); ++i)
+    for (int i = 0; i < std::min(fault.repetitions, 50); ++i)
       result["faults"].push_back({{"kind", name_of(fault.kind)},
-                                  {"on", fault.on},
-                                  {"at", fault.at + i * fault.every},
-                                  {"for", fault.span}});
+                                  {"on", fault.target},
+                                  {"at", fault.at + i * fault.interval},
+                                  {"for", fault.duration}});
   }
   result["breaches"] = nlohmann::json::array();
-  for (const Breach& breach : checker.breaches()) result["breaches"].push_back(json_of(breach));
-  result["descriptors_left"] = usage_of(getpid()).descriptors - before;
+  for (const Breach& breach : checker.breaches()) result["breaches"].push_back(breach_json(breach));
+  result["descriptors_left"] = usage_of(getpid()).descriptors - descriptors_before;
   result["rules"] = !checker.breaches().empty() ? "broken" : result["ready"] ? "kept" : "not ready";
   return result;
 }
--- a/tools/load_test/run.h
+++ b/tools/load_test/run.h
@@ -1,4 +1,4 @@
-// One run from start to verdict.
+// Runs one scenario and returns its result.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 struct RunPlan {
   Scenario scenario;
   std::uint64_t seed = 1;
-  std::string command;  // of a sidecar
-  std::string label;    // who is measured, for comparisons
+  std::string command;  // that starts a sidecar
+  std::string label;    // name of the sidecar in comparisons
   bool keep_logs = false;
 };
 
-// Throws std::runtime_error where the machine gives no sockets, processes or folders.
+// Throws std::runtime_error if sockets, processes or folders cannot be created.
 nlohmann::json run(const RunPlan& plan);
-// The lines for a person, the last one the verdict; also what 'run' exits with: 0, or 3 if a rule broke.
+// Human-readable summary; the last line says whether the rules were kept.
 std::string summary(const nlohmann::json& result);
 
 }  // namespace load_test
--- a/tools/load_test/scale/list_server.cpp
+++ b/tools/load_test/scale/list_server.cpp
@@ -7,8 +7,10 @@
 
 namespace {
 
-constexpr double kEmptyLine = 2;     // seconds between them while nothing changes
-constexpr std::size_t kStride = 37;  // from one endpoint that is replaced to the next
+constexpr double kEmptyLineInterval =
+    2;  // seconds between the empty lines that keep an unchanged watch alive
+// Distance between the indexes of endpoints that are replaced one after another.
+constexpr std::size_t kReplaceStride = 37;
 
 std::string chunk(const std::string& text) {
   char size[24];
@@ -16,10 +18,11 @@
   return size + text + "\r\n";
 }
 
-// Names as discovery gives them: alike in length, and alike at each run.
-std::string name_of(std::size_t endpoint, int life) {
+// Names of equal length, as discovery gives them, and the same in every run.
+std::string endpoint_name(std::size_t endpoint, int replacement) {
   char name[24];
-  std::snprintf(name, sizeof name, "s-%08x", unsigned(endpoint * 2654435761u + unsigned(life) * 40503u));
+  std::snprintf(name, sizeof name, "s-%08x",
+                unsigned(endpoint * 2654435761u + unsigned(replacement) * 40503u));
   return name;
 }
 
@@ -30,110 +33,110 @@
 
 }  // namespace
 
-class ListServer::Link final : public Line::Owner {
+class ListServer::Session final : public Connection::Owner {
  public:
-  Link(ListServer& server, int descriptor)
-      : server_(server), line_(server.loop_, *this), reader_(Reader::Of::Requests) {
-    line_.adopt(descriptor);
+  Session(ListServer& server, int descriptor)
+      : server_(server), connection_(server.loop_, *this), reader_(HttpReader::Kind::Requests) {
+    connection_.attach(descriptor);
   }
-  ~Link() override { server_.loop_.cancel(timer_); }
-  void say(const std::string& text) {
+  ~Session() override { server_.loop_.cancel(timer_); }
+  void send_line(const std::string& text) {
     if (watching_) send(chunk(text + "\n"));
   }
 
  private:
   void send(const std::string& bytes) {
-    server_.bytes_ += bytes.size();
-    line_.send(bytes);
+    server_.bytes_sent_ += bytes.size();
+    connection_.send(bytes);
   }
-  void on_bytes(Line&, std::string_view bytes) override {
+  void on_bytes(Connection&, std::string_view bytes) override {
     reader_.feed(bytes);
-    if (!reader_.whole()) return;
+    if (!reader_.complete()) return;
     std::string target = reader_.take().target;
     std::size_t after = target.find("after=");
     watching_ = true;
     send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    say(server_.answer(after == std::string::npos ? 0 : std::atoll(target.c_str() + after + 6)));
-    beat();
+    send_line(server_.list_after(after == std::string::npos ? 0 : std::atoll(target.c_str() + after + 6)));
+    schedule_empty_line();
   }
-  void on_end(Line&, bool) override {
-    line_.close();
-    server_.let_go(*this);
+  void on_end(Connection&, bool) override {
+    connection_.close();
+    server_.remove(*this);
   }
-  void beat() {
-    timer_ = server_.loop_.at(server_.loop_.now() + kEmptyLine, [this] {
-      say("");
-      beat();
+  void schedule_empty_line() {
+    timer_ = server_.loop_.call_at(server_.loop_.now() + kEmptyLineInterval, [this] {
+      send_line("");
+      schedule_empty_line();
     });
   }
 
   ListServer& server_;
-  Line line_;
-  Reader reader_;
-  Loop::Timer timer_{};
+  Connection connection_;
+  HttpReader reader_;
+  EventLoop::Timer timer_{};
   bool watching_ = false;
 };
 
-ListServer::ListServer(Loop& loop, const Address& at, std::vector<Address> endpoints)
+ListServer::ListServer(EventLoop& loop, const Address& at, std::vector<Address> endpoints)
     : loop_(loop),
       endpoints_(std::move(endpoints)),
-      lives_(endpoints_.size()),
+      replacements_(endpoints_.size()),
       since_ms_(endpoints_.size()),
       listener_(loop, *this, at, 0) {}
 
 ListServer::~ListServer() = default;
 
 void ListServer::on_accepted(Listener&, int descriptor) {
-  auto link = std::make_unique<Link>(*this, descriptor);
-  const Link* key = link.get();
-  links_.emplace(key, std::move(link));
+  auto session = std::make_unique<Session>(*this, descriptor);
+  const Session* key = session.get();
+  sessions_.emplace(key, std::move(session));
 }
 
-void ListServer::let_go(const Link& link) {
-  auto found = links_.extract(&link);
-  if (!found.empty()) loop_.bury(std::move(found.mapped()));
+void ListServer::remove(const Session& session) {
+  auto found = sessions_.extract(&session);
+  if (!found.empty()) loop_.delete_later(std::move(found.mapped()));
 }
 
-std::string ListServer::entry(std::size_t endpoint, const char* status) const {
-  return R"({"name":")" + name_of(endpoint, lives_[endpoint]) + R"(","address":")" +
+std::string ListServer::entry_json(std::size_t endpoint, const char* status) const {
+  return R"({"name":")" + endpoint_name(endpoint, replacements_[endpoint]) + R"(","address":")" +
          endpoints_[endpoint].text() + R"(","zone":"here","type":"m2","group":)" +
          std::to_string(endpoint % 4) + R"(,"status":")" + status + R"(","weight":1.0,"since_ms":)" +
          std::to_string(since_ms_[endpoint]) + "}";
 }
 
-std::string ListServer::list(bool whole, const std::string& entries) const {
-  return R"({"index":)" + std::to_string(index_) + R"(,"snapshot":)" + (whole ? "true" : "false") +
+std::string ListServer::list_json(bool snapshot, const std::string& entries) const {
+  return R"({"index":)" + std::to_string(index_) + R"(,"snapshot":)" + (snapshot ? "true" : "false") +
          R"(,"endpoints":[)" + entries + "]}";
 }
 
-std::string ListServer::whole() const {
+std::string ListServer::full_list() const {
   std::string entries;
-  for (std::size_t i = 0; i < endpoints_.size(); ++i) entries += (i > 0 ? "," : "") + entry(i, "active");
-  return list(true, entries);
+  for (std::size_t i = 0; i < endpoints_.size(); ++i) entries += (i > 0 ? "," : "") + entry_json(i, "active");
+  return list_json(true, entries);
 }
 
-std::string ListServer::answer(std::int64_t after) {
+std::string ListServer::list_after(std::int64_t after) {
   if (after <= 0 || after > index_) {
-    ++whole_lists_;
-    return whole();
+    ++full_list_count_;
+    return full_list();
   }
   std::string entries;
   for (const Change& change : changes_) {
     if (change.index > after) entries += (entries.empty() ? "" : ",") + change.entries;
   }
-  return list(false, entries);
+  return list_json(false, entries);
 }
 
-void ListServer::replace_one() {
+void ListServer::replace_endpoint() {
   std::size_t endpoint = next_;
-  next_ = (next_ + kStride) % endpoints_.size();
-  std::string entries = entry(endpoint, "left");
-  ++lives_[endpoint];
+  next_ = (next_ + kReplaceStride) % endpoints_.size();
+  std::string entries = entry_json(endpoint, "left");
+  ++replacements_[endpoint];
   since_ms_[endpoint] = unix_ms();
-  entries += "," + entry(endpoint, "active");
+  entries += "," + entry_json(endpoint, "active");
   ++index_;
   changes_.push_back({index_, entries});
-  for (auto& [key, link] : links_) link->say(list(false, entries));
+  for (auto& [key, session] : sessions_) session->send_line(list_json(false, entries));
 }
 
 }  // namespace load_test
--- a/tools/load_test/scenario/random_source.h
+++ b/tools/load_test/scenario/random_source.h
@@ -1,4 +1,5 @@
-// Chance from a seed, the same on every machine: the standard library's distributions are each their own.
+// Random numbers that are the same for a seed on every machine, unlike the distributions of the standard
+// library.
 #pragma once
 
 #include <cmath>
@@ -9,24 +10,24 @@
 
 namespace load_test {
 
-class Chance {
+class RandomSource {
  public:
-  explicit Chance(std::uint64_t seed, std::uint64_t stream = 1) : engine_(seed, stream) {}
+  explicit RandomSource(std::uint64_t seed, std::uint64_t stream = 1) : engine_(seed, stream) {}
   double uniform() {
     std::uint64_t low = engine_() >> 11;
     return double(std::uint64_t(engine_()) << 21 | low) / double(1ull << 53);
   }
-  double in(Span span) { return span.low + (span.high - span.low) * uniform(); }
-  int below(int count) { return int(uniform() * count); }
-  bool happens(double share) { return uniform() < share; }
+  double uniform_in(Range range) { return range.low + (range.high - range.low) * uniform(); }
+  int uniform_below(int count) { return int(uniform() * count); }
+  bool with_probability(double probability) { return uniform() < probability; }
   double exponential(double rate) { return -std::log(1 - uniform()) / rate; }
-  template <typename List, typename Share>
-  std::size_t pick(const List& list, Share share) {
-    double sum = 0, at = 0;
-    for (const auto& one : list) sum += share(one);
-    double chosen = uniform() * sum;
+  template <typename List, typename Weight>
+  std::size_t weighted_index(const List& list, Weight weight) {
+    double sum = 0, passed = 0;
+    for (const auto& entry : list) sum += weight(entry);
+    double threshold = uniform() * sum;
     for (std::size_t i = 0; i < list.size(); ++i) {
-      if ((at += share(list[i])) > chosen) return i;
+      if ((passed += weight(list[i])) > threshold) return i;
     }
     return list.size() - 1;
   }
--- a/tools/load_test/scenario/scenario.cpp
+++ b/tools/load_test/scenario/scenario.cpp
@@ -11,52 +11,52 @@
 
 namespace load_test {
 
-const std::vector<TroubleName>& trouble_names() {
-  static const std::vector<TroubleName> kNames = {
-      {Trouble::Slow, "slow", "works 'factor' times slower"},
-      {Trouble::Hang, "hang", "takes visits and answers none"},
-      {Trouble::Errors, "errors", "fails 'share' of its visits at once"},
-      {Trouble::Crash, "crash", "dies, is back cold at the end of 'for' under the same name"},
-      {Trouble::Freeze, "freeze", "stands still: neither reads, works nor writes"},
-      {Trouble::ResetIn, "reset-in", "resets 'share' of connections after 'bytes' read"},
-      {Trouble::ResetOut, "reset-out", "resets 'share' of connections after 'bytes' written"},
-      {Trouble::Refuse, "refuse", "refuses new connections"},
-      {Trouble::Unreachable, "unreachable", "new connections never come up"},
-      {Trouble::Drop, "drop", "open connections go silent, new ones work"},
-      {Trouble::Spoil, "spoil", "spoils 'share' of its answers"},
-      {Trouble::Burst, "burst", "visits come 'factor' times as often"},
-      {Trouble::SharedSlow, "shared-slow", "a whole tier works 'factor' times slower"},
-      {Trouble::Drain, "drain", "is listed as leaving, is gone after 'for'"},
-      {Trouble::Release, "release",
+const std::vector<FaultKindInfo>& fault_kinds() {
+  static const std::vector<FaultKindInfo> kNames = {
+      {FaultKind::Slow, "slow", "works 'factor' times slower"},
+      {FaultKind::Hang, "hang", "takes visits and answers none"},
+      {FaultKind::Errors, "errors", "fails 'share' of its visits at once"},
+      {FaultKind::Crash, "crash", "dies, is back cold at the end of 'for' under the same name"},
+      {FaultKind::Freeze, "freeze", "stands still: neither reads, works nor writes"},
+      {FaultKind::ResetIn, "reset-in", "resets 'share' of connections after 'bytes' read"},
+      {FaultKind::ResetOut, "reset-out", "resets 'share' of connections after 'bytes' written"},
+      {FaultKind::Refuse, "refuse", "refuses new connections"},
+      {FaultKind::Unreachable, "unreachable", "new connections never come up"},
+      {FaultKind::Drop, "drop", "open connections go silent, new ones work"},
+      {FaultKind::Spoil, "spoil", "spoils 'share' of its answers"},
+      {FaultKind::Burst, "burst", "visits come 'factor' times as often"},
+      {FaultKind::SharedSlow, "shared-slow", "a whole tier works 'factor' times slower"},
+      {FaultKind::Drain, "drain", "is listed as leaving, is gone after 'for'"},
+      {FaultKind::Release, "release",
        "each in turn drains and is replaced, cold, under a new name; 'for' in all"},
-      {Trouble::RestartTogether, "cold-together", "all restart at once, cold"},
-      {Trouble::ListSilent, "list-silent", "discovery says nothing"},
-      {Trouble::ListLate, "list-late", "discovery's changes come 'for' later"},
-      {Trouble::ListOld, "list-old", "who asks anew is given the list as it was at the start"},
-      {Trouble::SidecarTerm, "sidecar-term", "SIGTERM, started again once it has left"},
-      {Trouble::SidecarKill, "sidecar-kill", "SIGKILL, started again after 'for'"},
-      {Trouble::SidecarStop, "sidecar-stop", "SIGSTOP, SIGCONT after 'for'"},
-      {Trouble::SidecarHup, "sidecar-hup", "discovery moves and its file says so, SIGHUP"},
-      {Trouble::SiteReload, "site-reload", "its site is written anew in another version, SIGHUP"},
-      {Trouble::SidecarUpgrade, "sidecar-upgrade",
+      {FaultKind::RestartTogether, "cold-together", "all restart at once, cold"},
+      {FaultKind::ListSilent, "list-silent", "discovery says nothing"},
+      {FaultKind::ListLate, "list-late", "discovery's changes come 'for' later"},
+      {FaultKind::ListOld, "list-old", "who asks anew is given the list as it was at the start"},
+      {FaultKind::SidecarTerm, "sidecar-term", "SIGTERM, started again once it has left"},
+      {FaultKind::SidecarKill, "sidecar-kill", "SIGKILL, started again after 'for'"},
+      {FaultKind::SidecarStop, "sidecar-stop", "SIGSTOP, SIGCONT after 'for'"},
+      {FaultKind::SidecarHup, "sidecar-hup", "discovery moves and its file says so, SIGHUP"},
+      {FaultKind::SiteReload, "site-reload", "its site is written anew in another version, SIGHUP"},
+      {FaultKind::SidecarUpgrade, "sidecar-upgrade",
        "a second process takes over, SIGTERM to the first at its yes"},
-      {Trouble::SidecarEmpty, "sidecar-empty", "is emptied by an operator's call, called back after 'for'"},
-      {Trouble::Exclude, "exclude", "is taken out by operators' calls, back in after 'for'"}};
+      {FaultKind::SidecarEmpty, "sidecar-empty", "is emptied by an operator's call, called back after 'for'"},
+      {FaultKind::Exclude, "exclude", "is taken out by operators' calls, back in after 'for'"}};
   return kNames;
 }
 
-const char* name_of(Trouble kind) { return trouble_names()[std::size_t(kind)].name; }
+const char* name_of(FaultKind kind) { return fault_kinds()[std::size_t(kind)].name; }
 
-bool Scenario::operated() const {
+bool Scenario::uses_admin_api() const {
   return std::any_of(faults.begin(), faults.end(), [](const Fault& fault) {
-    return fault.kind == Trouble::SidecarUpgrade || fault.kind == Trouble::SidecarEmpty ||
-           fault.kind == Trouble::Exclude;
+    return fault.kind == FaultKind::SidecarUpgrade || fault.kind == FaultKind::SidecarEmpty ||
+           fault.kind == FaultKind::Exclude;
   });
 }
 
 Scenario default_scenario() {
-  Scenario made;
-  made.name = "default";
+  Scenario result;
+  result.name = "default";
   TierPlan front, dossier, bron;
   front.name = "front";
   front.work_share = 0.35;
@@ -64,8 +64,8 @@
   dossier.work_share = 0.34;
   bron.name = "bron";
   bron.work_share = 0.31;
-  bron.calls = 0;
-  made.tiers = {front, dossier, bron};
+  bron.calls_per_request = 0;
+  result.tiers = {front, dossier, bron};
   ClassPlan status, consent, upload;
   status.name = "status";
   status.share = 0.4;
@@ -83,24 +83,24 @@
   upload.idempotency = Idempotency::Keyed;
   upload.latency_objective = 0.4;
   upload.client_timeout = 1.2;
-  made.request_classes = {status, consent, upload};
-  made.tenants = {{"kotwijzer", 0.64}, {"immo-dijle", 0.23}, {"woonpunt-zuid", 0.13}};
-  return made;
+  result.request_classes = {status, consent, upload};
+  result.tenants = {{"kotwijzer", 0.64}, {"immo-dijle", 0.23}, {"woonpunt-zuid", 0.13}};
+  return result;
 }
 
 Bounds Scenario::bounds() const {
-  Bounds made;
+  Bounds result;
   for (const ClassPlan& request_class : request_classes)
-    made.request_classes[request_class.name] = {request_class.idempotency, request_class.memory,
-                                                request_class.grouped};
-  made.grace = grace;
-  made.slow_start = {slow_start_share, warm_after, slow_start_multiple, slow_start_window};
-  return made;
+    result.request_classes[request_class.name] = {request_class.idempotency, request_class.idempotency_window,
+                                                  request_class.grouped};
+  result.drain_grace = grace;
+  result.slow_start = {slow_start_initial_share, slow_start_duration, slow_start_multiple, slow_start_window};
+  return result;
 }
 
 namespace {
 
-// One table of the file: what is read is known, and what is left over is a name that nobody reads.
+// A TOML table that remembers which keys were read, so that unknown keys can be reported.
 class Table {
  public:
   Table(const toml::table& table, std::string path, std::string what)
@@ -108,58 +108,59 @@
 
   [[noreturn]] static void fail(const std::string& path, const toml::source_region& where,
                                 const std::string& text) {
-    throw Unusable(path + ":" + std::to_string(where.begin.line) + ":" + std::to_string(where.begin.column) +
-                   ": " + text);
+    throw InvalidInput(path + ":" + std::to_string(where.begin.line) + ":" +
+                       std::to_string(where.begin.column) + ": " + text);
   }
   [[noreturn]] void fail(const toml::node& at, const std::string& text) const {
     fail(path_, at.source(), text);
   }
 
-  void read(const char* key, double& into, double low = 0, double high = 1e6) {
-    if (const toml::node* found = find(key)) into = figure(key, *found, low, high);
+  void read(const char* key, double& value_out, double low = 0, double high = 1e6) {
+    if (const toml::node* found = find(key)) value_out = read_number(key, *found, low, high);
   }
-  void read(const char* key, int& into, int low = 0, int high = 1'000'000) {
+  void read(const char* key, int& value_out, int low = 0, int high = 1'000'000) {
     const toml::node* found = find(key);
     if (!found) return;
     auto value = found->value_exact<std::int64_t>();
     if (!value || *value < low || *value > high)
       fail(*found, std::string("'") + key + "' is a whole number from " + std::to_string(low) + " to " +
                        std::to_string(high));
-    into = int(*value);
+    value_out = int(*value);
   }
-  void read(const char* key, bool& into) {
+  void read(const char* key, bool& value_out) {
     const toml::node* found = find(key);
     if (!found) return;
     auto value = found->value_exact<bool>();
     if (!value) fail(*found, std::string("'") + key + "' is true or false");
-    into = *value;
+    value_out = *value;
   }
-  void read(const char* key, std::string& into) {
+  void read(const char* key, std::string& value_out) {
     const toml::node* found = find(key);
     if (!found) return;
     auto value = found->value_exact<std::string>();
     if (!value) fail(*found, std::string("'") + key + "' is a text in quotes");
-    into = *value;
+    value_out = *value;
   }
-  void read(const char* key, Span& into) {
+  void read(const char* key, Range& value_out) {
     const toml::node* found = find(key);
     if (!found) return;
     if (const toml::array* pair = found->as_array()) {
       if (pair->size() != 2) fail(*found, std::string("'") + key + "' is a number or a pair [low, high]");
-      into = {figure(key, *pair->get(0), 0, 1e6), figure(key, *pair->get(1), 0, 1e6)};
-      if (into.low > into.high) fail(*found, std::string("'") + key + "' has its low end above its high end");
+      value_out = {read_number(key, *pair->get(0), 0, 1e6), read_number(key, *pair->get(1), 0, 1e6)};
+      if (value_out.low > value_out.high)
+        fail(*found, std::string("'") + key + "' has its low end above its high end");
     } else {
-      into.low = into.high = figure(key, *found, 0, 1e6);
+      value_out.low = value_out.high = read_number(key, *found, 0, 1e6);
     }
   }
   template <typename Choice>
-  void choose(const char* key, Choice& into, const std::vector<std::pair<std::string, Choice>>& of) {
+  void choose(const char* key, Choice& value_out, const std::vector<std::pair<std::string, Choice>>& of) {
     std::string word;
     read(key, word);
     if (word.empty()) return;
     std::string names;
     for (const auto& [name, value] : of) {
-      if (name == word) return void(into = value);
+      if (name == word) return void(value_out = value);
       names += (names.empty() ? "" : ", ") + name;
     }
     fail(*table_.get(key), "'" + word + "' is no " + key + "; expected one of " + names);
@@ -174,7 +175,7 @@
       if (!table) fail(node, std::string("'") + key + "' is a list of tables, [[" + key + "]]");
       Table inner(*table, path_, std::string("[[") + key + "]]");
       of(inner);
-      inner.all_read();
+      inner.reject_unknown_keys();
     }
   }
   void inner(const char* key, const std::function<void(Table&)>& of) {
@@ -184,9 +185,9 @@
     if (!table) fail(*found, std::string("'") + key + "' is a table, [" + key + "]");
     Table inner(*table, path_, std::string("[") + key + "]");
     of(inner);
-    inner.all_read();
+    inner.reject_unknown_keys();
   }
-  void all_read() const {
+  void reject_unknown_keys() const {
     for (const auto& [key, node] : table_) {
       std::string name(key.str());
       if (known_.contains(name)) continue;
@@ -202,7 +203,7 @@
     known_.insert(key);
     return table_.get(key);
   }
-  double figure(const char* key, const toml::node& node, double low, double high) const {
+  double read_number(const char* key, const toml::node& node, double low, double high) const {
     auto value = node.value<double>();
     if (!value || node.is_boolean() || *value < low || *value > high) {
       std::ostringstream text;
@@ -226,14 +227,14 @@
   table.read("connections", tier.connections, 1, 100000);
   table.read("connection_work", tier.connection_work);
   table.read("groups", tier.groups, 1, 256);
-  table.read("calls", tier.calls, 0, 10);
+  table.read("calls", tier.calls_per_request, 0, 10);
   table.read("work_share", tier.work_share, 0, 1);
-  table.read("crowd", tier.crowd);
-  table.read("crowd_after", tier.crowd_after);
-  table.read("crowd_factor", tier.crowd_factor, 1, 100);
-  table.read("crowd_span", tier.crowd_span);
-  table.read("cancel_stops", tier.cancel_stops);
-  table.read("reports", tier.reports);
+  table.read("crowd", tier.overload_depth);
+  table.read("crowd_after", tier.overload_after);
+  table.read("crowd_factor", tier.overload_slowdown, 1, 100);
+  table.read("crowd_span", tier.overload_duration);
+  table.read("cancel_stops", tier.cancel_frees_core);
+  table.read("reports", tier.sends_load_reports);
 }
 
 void read_prefix(Table& table, ClassPlan& request_class) {
@@ -246,34 +247,34 @@
   table.read("target_latency", request_class.latency_objective);
   table.read("client_timeout", request_class.client_timeout);
   table.read("credit", request_class.credit);
-  table.read("late_credit", request_class.late_credit, 0, 1);
-  table.read("memory", request_class.memory);
+  table.read("late_credit", request_class.late_share, 0, 1);
+  table.read("memory", request_class.idempotency_window);
   table.read("grouped", request_class.grouped);
 }
 
 void read_clients(Table& table, ClientPlan& clients) {
   table.read("rate", clients.rate, 0, 100000);
   table.read("retries", clients.retries, 0, 10);
-  table.read("pause", clients.pause);
-  table.read("obeys", clients.obeys);
-  table.read("leaves", clients.leaves, 0, 1);
-  table.read("heavy", clients.heavy, 0, 1);
-  table.read("bad_rate", clients.bad_rate, 0, 10000);
-  table.read("tells_time", clients.tells_time);
+  table.read("pause", clients.retry_pause);
+  table.read("obeys", clients.obeys_retry_after);
+  table.read("leaves", clients.leave_share, 0, 1);
+  table.read("heavy", clients.heavy_share, 0, 1);
+  table.read("bad_rate", clients.invalid_rate, 0, 10000);
+  table.read("tells_time", clients.sends_remaining_time);
 }
 
 void read_fault(Table& table, Fault& fault) {
-  std::vector<std::pair<std::string, Trouble>> kinds;
-  for (const TroubleName& one : trouble_names()) kinds.emplace_back(one.name, one.kind);
-  table.choose<Trouble>("kind", fault.kind, kinds);
+  std::vector<std::pair<std::string, FaultKind>> kinds;
+  for (const FaultKindInfo& info : fault_kinds()) kinds.emplace_back(info.name, info.kind);
+  table.choose<FaultKind>("kind", fault.kind, kinds);
   table.read("at", fault.at);
-  table.read("for", fault.span);
-  table.read("on", fault.on);
+  table.read("for", fault.duration);
+  table.read("on", fault.target);
   table.read("factor", fault.factor, 1, 1000);
   table.read("share", fault.share, 0, 1);
-  table.read("bytes", fault.bytes, 0, 1 << 20);
-  table.read("every", fault.every);
-  table.read("times", fault.times, 1, 1000);
+  table.read("bytes", fault.reset_after_bytes, 0, 1 << 20);
+  table.read("every", fault.interval);
+  table.read("times", fault.repetitions, 1, 1000);
 }
 
 }  // namespace
@@ -284,8 +285,8 @@
   toml::table parsed;
   try {
     parsed = toml::parse(text, path);
-  } catch (const toml::parse_error& fault) {
-    Table::fail(path, fault.source(), std::string(fault.description()));
+  } catch (const toml::parse_error& error) {
+    Table::fail(path, error.source(), std::string(error.description()));
   }
   Table table(parsed, path, "a script");
   table.read("title", scenario.title);
@@ -297,28 +298,28 @@
   table.read("memory_mb", scenario.memory_mb, 16, 4096);
   table.read("list_delay", scenario.list_delay);
   table.read("grace", scenario.grace);
-  table.read("cold_share", scenario.slow_start_share, 0.01, 1);
-  table.read("warm_after", scenario.warm_after);
+  table.read("cold_share", scenario.slow_start_initial_share, 0.01, 1);
+  table.read("warm_after", scenario.slow_start_duration);
   table.read("cold_multiple", scenario.slow_start_multiple, 1, 100);
   table.read("cold_window", scenario.slow_start_window, 0.1, 60);
   table.read("connect_timeout", scenario.connect_timeout);
   table.read("idle_time", scenario.idle_time);
-  table.read("longest_wait_advice", scenario.longest_wait_advice);
+  table.read("longest_wait_advice", scenario.max_retry_after);
   table.read("window", scenario.window, 0.1, 60);
-  bool fresh_tiers = true, fresh_prefixes = true, fresh_customers = true;
+  bool default_tiers = true, default_prefixes = true, default_customers = true;
   table.each("tier", [&](Table& inner) {
-    if (std::exchange(fresh_tiers, false)) scenario.tiers.clear();
+    if (std::exchange(default_tiers, false)) scenario.tiers.clear();
     read_tier(inner, scenario.tiers.emplace_back());
     if (scenario.tiers.back().name.empty()) inner.fail(inner.table(), "a tier needs a 'name'");
   });
   table.each("prefix", [&](Table& inner) {
-    if (std::exchange(fresh_prefixes, false)) scenario.request_classes.clear();
+    if (std::exchange(default_prefixes, false)) scenario.request_classes.clear();
     read_prefix(inner, scenario.request_classes.emplace_back());
     if (scenario.request_classes.back().name.empty()) inner.fail(inner.table(), "a prefix needs a 'name'");
   });
   table.each("customer", [&](Table& inner) {
-    if (std::exchange(fresh_customers, false)) scenario.tenants.clear();
-    CustomerPlan& tenant = scenario.tenants.emplace_back();
+    if (std::exchange(default_customers, false)) scenario.tenants.clear();
+    TenantPlan& tenant = scenario.tenants.emplace_back();
     inner.read("name", tenant.name);
     inner.read("share", tenant.share, 0, 1);
   });
@@ -327,12 +328,12 @@
     read_fault(inner, scenario.faults.emplace_back());
     if (!inner.table().contains("kind")) inner.fail(inner.table(), "a fault needs a 'kind'");
   });
-  table.all_read();
-  if (!scenario.tiers.empty()) scenario.tiers.back().calls = 0;
+  table.reject_unknown_keys();
+  if (!scenario.tiers.empty()) scenario.tiers.back().calls_per_request = 0;
   try {
     check_scenario(scenario);
-  } catch (const Unusable& fault) {
-    throw Unusable(path + ":1: " + fault.what());
+  } catch (const InvalidInput& error) {
+    throw InvalidInput(path + ":1: " + error.what());
   }
   return scenario;
 }
@@ -340,7 +341,8 @@
 Scenario read_scenario(const std::string& path) {
   std::ifstream file(path);
   if (!file)
-    throw Unusable(path + ":1: can't be opened; expected a script (TOML), 'random', or a name from 'list'");
+    throw InvalidInput(path +
+                       ":1: can't be opened; expected a script (TOML), 'random', or a name from 'list'");
   std::ostringstream text;
   text << file.rdbuf();
   return read_scenario(text.str(), path);
@@ -349,67 +351,69 @@
 void check_scenario(const Scenario& scenario) {
   for (const ClassPlan& request_class : scenario.request_classes) {
     if (request_class.client_timeout < request_class.latency_objective)
-      throw Unusable("the client timeout of '" + request_class.name + "' is under its target latency");
+      throw InvalidInput("the client timeout of '" + request_class.name + "' is under its target latency");
   }
-  bool reloads = std::any_of(scenario.faults.begin(), scenario.faults.end(),
-                             [](const Fault& fault) { return fault.kind == Trouble::SiteReload; });
-  if (reloads && !scenario.sites) throw Unusable("fault 'site-reload' needs sites = true");
-  auto sidecar_trouble = [](Trouble kind) { return kind >= Trouble::ListSilent && kind != Trouble::Exclude; };
+  bool has_site_reload = std::any_of(scenario.faults.begin(), scenario.faults.end(),
+                                     [](const Fault& fault) { return fault.kind == FaultKind::SiteReload; });
+  if (has_site_reload && !scenario.sites) throw InvalidInput("fault 'site-reload' needs sites = true");
+  auto affects_sidecars = [](FaultKind kind) {
+    return kind >= FaultKind::ListSilent && kind != FaultKind::Exclude;
+  };
   for (const Fault& fault : scenario.faults) {
-    if (fault.kind == Trouble::Burst) continue;
-    std::string tier = fault.on.substr(0, fault.on.find('/'));
-    std::string which =
-        fault.on.find('/') == std::string::npos ? "" : fault.on.substr(fault.on.find('/') + 1);
-    bool number = !which.empty() && which.find_first_not_of("0123456789") == std::string::npos;
-    if (sidecar_trouble(fault.kind)) {
-      if (fault.on == "*" ||
-          (!fault.on.empty() && fault.on.find_first_not_of("0123456789") == std::string::npos &&
-           std::stoi(fault.on) < scenario.sidecars))
+    if (fault.kind == FaultKind::Burst) continue;
+    std::string tier = fault.target.substr(0, fault.target.find('/'));
+    std::string endpoint =
+        fault.target.find('/') == std::string::npos ? "" : fault.target.substr(fault.target.find('/') + 1);
+    bool number = !endpoint.empty() && endpoint.find_first_not_of("0123456789") == std::string::npos;
+    if (affects_sidecars(fault.kind)) {
+      if (fault.target == "*" ||
+          (!fault.target.empty() && fault.target.find_first_not_of("0123456789") == std::string::npos &&
+           std::stoi(fault.target) < scenario.sidecars))
         continue;
-      throw Unusable(std::string("fault '") + name_of(fault.kind) +
-                     "': 'on' is a sidecar of the first tier (0 to " + std::to_string(scenario.sidecars - 1) +
-                     ") or \"*\"");
+      throw InvalidInput(std::string("fault '") + name_of(fault.kind) +
+                         "': 'on' is a sidecar of the first tier (0 to " +
+                         std::to_string(scenario.sidecars - 1) + ") or \"*\"");
     }
     auto found = std::find_if(scenario.tiers.begin(), scenario.tiers.end(),
                               [&](const TierPlan& plan) { return plan.name == tier; });
-    bool whole = fault.kind == Trouble::SharedSlow || fault.kind == Trouble::Release ||
-                 fault.kind == Trouble::RestartTogether;
-    if (found == scenario.tiers.end() ||
-        (!(whole && which.empty()) && which != "*" && !(number && std::stoi(which) < found->endpoints)))
-      throw Unusable(std::string("fault '") + name_of(fault.kind) + "': 'on' is \"" + fault.on +
-                     "\"; expected a tier and an endpoint's number, as \"" + scenario.tiers.front().name +
-                     "/0\", or \"" + scenario.tiers.front().name + "/*\"");
+    bool targets_tier = fault.kind == FaultKind::SharedSlow || fault.kind == FaultKind::Release ||
+                        fault.kind == FaultKind::RestartTogether;
+    if (found == scenario.tiers.end() || (!(targets_tier && endpoint.empty()) && endpoint != "*" &&
+                                          !(number && std::stoi(endpoint) < found->endpoints)))
+      throw InvalidInput(std::string("fault '") + name_of(fault.kind) + "': 'on' is \"" + fault.target +
+                         "\"; expected a tier and an endpoint's number, as \"" + scenario.tiers.front().name +
+                         "/0\", or \"" + scenario.tiers.front().name + "/*\"");
   }
 }
 
-void stretch(Scenario& scenario, double scale) {
-  auto by = [scale](Span& span) {
-    span.low *= scale;
-    span.high *= scale;
+void scale_times(Scenario& scenario, double factor) {
+  auto scale_range = [factor](Range& span) {
+    span.low *= factor;
+    span.high *= factor;
   };
   for (double* time :
-       {&scenario.length, &scenario.grace, &scenario.warm_after, &scenario.slow_start_window,
-        &scenario.connect_timeout, &scenario.idle_time, &scenario.longest_wait_advice, &scenario.window})
-    *time *= scale;
-  by(scenario.list_delay);
+       {&scenario.length, &scenario.grace, &scenario.slow_start_duration, &scenario.slow_start_window,
+        &scenario.connect_timeout, &scenario.idle_time, &scenario.max_retry_after, &scenario.window})
+    *time *= factor;
+  scale_range(scenario.list_delay);
   for (TierPlan& tier : scenario.tiers) {
-    tier.connection_work *= scale;
-    tier.crowd_after *= scale;
-    tier.crowd_span *= scale;
+    tier.connection_work *= factor;
+    tier.overload_after *= factor;
+    tier.overload_duration *= factor;
   }
   for (ClassPlan& request_class : scenario.request_classes) {
-    by(request_class.work);
-    request_class.latency_objective *= scale;
-    request_class.client_timeout *= scale;
-    request_class.memory *= scale;
+    scale_range(request_class.work);
+    request_class.latency_objective *= factor;
+    request_class.client_timeout *= factor;
+    request_class.idempotency_window *= factor;
   }
-  scenario.clients.rate /= scale;
-  scenario.clients.bad_rate /= scale;
-  scenario.clients.pause *= scale;
+  scenario.clients.rate /= factor;
+  scenario.clients.invalid_rate /= factor;
+  scenario.clients.retry_pause *= factor;
   for (Fault& fault : scenario.faults) {
-    fault.at *= scale;
-    fault.span *= scale;
-    fault.every *= scale;
+    fault.at *= factor;
+    fault.duration *= factor;
+    fault.interval *= factor;
   }
 }
 
@@ -418,20 +422,22 @@
   out << "title = \"" << scenario.title << "\"\nlength = " << scenario.length
       << "\nsidecars = " << scenario.sidecars << "\nsites = " << (scenario.sites ? "true" : "false")
       << "\n\n[clients]\nrate = " << scenario.clients.rate << "\nretries = " << scenario.clients.retries
-      << "\nheavy = " << scenario.clients.heavy << "\nleaves = " << scenario.clients.leaves
-      << "\nobeys = " << (scenario.clients.obeys ? "true" : "false") << "\n";
+      << "\nheavy = " << scenario.clients.heavy_share << "\nleaves = " << scenario.clients.leave_share
+      << "\nobeys = " << (scenario.clients.obeys_retry_after ? "true" : "false") << "\n";
   for (const TierPlan& tier : scenario.tiers) {
     out << "\n[[tier]]\nname = \"" << tier.name << "\"\nendpoints = " << tier.endpoints
         << "\ncores = " << tier.cores << "\nspeed = [" << tier.speed.low << ", " << tier.speed.high
-        << "]\nwork_share = " << tier.work_share << "\ncalls = " << tier.calls << "\ncrowd = " << tier.crowd
-        << "\ncancel_stops = " << (tier.cancel_stops ? "true" : "false")
-        << "\nreports = " << (tier.reports ? "true" : "false") << "\n";
+        << "]\nwork_share = " << tier.work_share << "\ncalls = " << tier.calls_per_request
+        << "\ncrowd = " << tier.overload_depth
+        << "\ncancel_stops = " << (tier.cancel_frees_core ? "true" : "false")
+        << "\nreports = " << (tier.sends_load_reports ? "true" : "false") << "\n";
   }
   for (const Fault& fault : scenario.faults) {
     out << "\n[[fault]]\nkind = \"" << name_of(fault.kind) << "\"\nat = " << fault.at
-        << "\nfor = " << fault.span << "\n";
-    if (!fault.on.empty()) out << "on = \"" << fault.on << "\"\n";
-    out << "factor = " << fault.factor << "\nshare = " << fault.share << "\nbytes = " << fault.bytes << "\n";
+        << "\nfor = " << fault.duration << "\n";
+    if (!fault.target.empty()) out << "on = \"" << fault.target << "\"\n";
+    out << "factor = " << fault.factor << "\nshare = " << fault.share
+        << "\nbytes = " << fault.reset_after_bytes << "\n";
   }
   return out.str();
 }
--- a/tools/load_test/tests/command_line.cpp
+++ b/tools/load_test/tests/command_line.cpp
@@ -1,5 +1,5 @@
-// The program as a person runs it: what it exits with and says, and that each vice is caught, for its own
-// rule only. plays REHEARSE TESTS_FOLDER
+// Tests of the command line: exit codes, output, and that each vice of the faulty proxy breaks only its own
+// rule. Usage: command_line LOAD_TEST_PROGRAM TESTS_FOLDER
 #undef NDEBUG
 #include <sys/wait.h>
 #include <unistd.h>
@@ -21,20 +21,20 @@
 
 std::string load_test, folder, scratch;
 
-struct Played {
-  int exit = -1;
-  std::string said, last;
+struct ProgramResult {
+  int exit_code = -1;
+  std::string output, last_line;
 };
 
-Played play(const std::string& words) {
-  FILE* pipe = popen(("'" + load_test + "' " + words + " 2>&1").c_str(), "r");
+ProgramResult run_program(const std::string& arguments) {
+  FILE* pipe = popen(("'" + load_test + "' " + arguments + " 2>&1").c_str(), "r");
   assert(pipe);
-  Played played;
+  ProgramResult program;
   char line[4096];
-  while (std::fgets(line, sizeof line, pipe)) played.said += played.last = line;
+  while (std::fgets(line, sizeof line, pipe)) program.output += program.last_line = line;
   int status = pclose(pipe);
-  played.exit = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
-  return played;
+  program.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
+  return program;
 }
 
 nlohmann::json result(const std::string& name) {
@@ -44,7 +44,7 @@
 
 struct Vice {
   const char* name;
-  const char* rule;  // that it breaks; none for an honest one
+  const char* rule;  // that it breaks; empty for "honest"
 };
 const Vice kVices[] = {{"honest", ""},
                        {"answers-twice", "rule 1"},
@@ -56,20 +56,20 @@
                        {"ignores-drains", "rule 3"},
                        {"floods-cold", "rule 4"}};
 
-// Some at a time: they are to be judged, not starved.
-void every_vice_is_caught_for_its_own_rule_only() {
+// Three at a time, so that each run gets enough CPU time.
+void every_vice_breaks_only_its_own_rule() {
   std::vector<int> exits(std::size(kVices));
   for (std::size_t from = 0; from < std::size(kVices); from += 3) {
-    std::vector<std::thread> lanes;
+    std::vector<std::thread> threads;
     for (std::size_t i = from; i < from + 3; ++i) {
-      lanes.emplace_back([i, &exits] {
+      threads.emplace_back([i, &exits] {
         std::string name = kVices[i].name;
-        exits[i] =
-            play("run '" + folder + "/vices.toml' --sidecar vice:" + name + " --json " + scratch + "/" + name)
-                .exit;
+        exits[i] = run_program("run '" + folder + "/vices.toml' --sidecar vice:" + name + " --json " +
+                               scratch + "/" + name)
+                       .exit_code;
       });
     }
-    for (std::thread& lane : lanes) lane.join();
+    for (std::thread& thread : threads) thread.join();
   }
   for (std::size_t i = 0; i < std::size(kVices); ++i) {
     const Vice& vice = kVices[i];
@@ -86,23 +86,25 @@
   }
 }
 
-void a_program_that_crashes_is_told() {
-  Played played = play("run calm --length 0.5 --sidecar false");
-  assert(played.exit == 3 && played.last.starts_with("rules: broken: a sidecar crashed"));
+void crashing_sidecar_is_reported() {
+  ProgramResult program = run_program("run calm --length 0.5 --sidecar false");
+  assert(program.exit_code == 3 && program.last_line.starts_with("rules: broken: a sidecar crashed"));
 }
 
-void the_same_seed_gives_the_same_schedule() {
+void same_seed_gives_same_schedule() {
   for (const char* name : {"one", "two"})
-    assert(play(std::string("run random --seed 7 --length 1 --json ") + scratch + "/" + name).exit == 0);
+    assert(
+        run_program(std::string("run random --seed 7 --length 1 --json ") + scratch + "/" + name).exit_code ==
+        0);
   assert(result("one")["schedule"] == result("two")["schedule"] &&
          result("one")["faults"] == result("two")["faults"]);
-  assert(play("run random --seed 8 --length 1 --json " + scratch + "/other").exit == 0);
+  assert(run_program("run random --seed 8 --length 1 --json " + scratch + "/other").exit_code == 0);
   assert(result("one")["schedule"] != result("other")["schedule"]);
 }
 
-void three_hundred_restarts_leave_no_descriptor_behind() {
-  Played played = play("run many-restarts --json " + scratch + "/restarts");
-  assert(played.exit == 0 && played.last == "rules: kept\n");
+void restarts_leak_no_descriptors() {
+  ProgramResult program = run_program("run many-restarts --json " + scratch + "/restarts");
+  assert(program.exit_code == 0 && program.last_line == "rules: kept\n");
   nlohmann::json json = result("restarts");
   int starts = 0;
   for (const nlohmann::json& sidecar : json["sidecars"]) starts += sidecar["starts"].get<int>();
@@ -110,9 +112,9 @@
   assert(starts >= 300 && json["descriptors_left"] == 0);
 }
 
-// Rules 1 and 2 over new versions of a site, some of them no good, while endpoints fail.
-void two_hundred_reloads_under_faults_break_no_rule() {
-  Played played = play("run site-reloads --json " + scratch + "/sites");
+// Reloads new versions of a site, some of them invalid, while endpoints fail.
+void reloads_under_faults_break_no_rule() {
+  ProgramResult program = run_program("run site-reloads --json " + scratch + "/sites");
   nlohmann::json json = result("sites");
   int taken = 0, kept = 0;
   for (const nlohmann::json& sidecar : json["sidecars"]) {
@@ -121,23 +123,25 @@
   }
   std::fprintf(stderr, "%d reloads taken, %d not, %s visits, %s unanswered\n", taken, kept,
                json["visits"].dump().c_str(), json["unanswered"].dump().c_str());
-  assert(played.exit == 0 && played.last == "rules: kept\n");
+  assert(program.exit_code == 0 && program.last_line == "rules: kept\n");
   assert(taken >= 200 && kept >= 30 && json["unanswered"] == 0);
 }
 
-void what_cant_be_used_exits_with_2() {
+void invalid_usage_exits_with_2() {
   std::ofstream(scratch + "/bad.toml") << "title = \"x\"\nlenght = 4\n";
-  Played played = play("run " + scratch + "/bad.toml");
-  assert(played.exit == 2 && played.said.find("bad.toml:2:") != std::string::npos);
-  assert(play("run no-such-script").exit == 2);
-  assert(play("walk").exit == 2 && play("run calm --sed 4").exit == 2);
-  assert(play("load 10.1.1.1:80").exit == 2);
-  assert(play("compare " + scratch + "/bad.toml").exit == 2);
-  assert(play("--help").exit == 0 && play("run --help").exit == 0 && play("list").exit == 0);
+  ProgramResult program = run_program("run " + scratch + "/bad.toml");
+  assert(program.exit_code == 2 && program.output.find("bad.toml:2:") != std::string::npos);
+  assert(run_program("run no-such-script").exit_code == 2);
+  assert(run_program("walk").exit_code == 2 && run_program("run calm --sed 4").exit_code == 2);
+  assert(run_program("load 10.1.1.1:80").exit_code == 2);
+  assert(run_program("compare " + scratch + "/bad.toml").exit_code == 2);
+  assert(run_program("--help").exit_code == 0 && run_program("run --help").exit_code == 0 &&
+         run_program("list").exit_code == 0);
 }
 
-// Stopped itself for a while, the load test finds a heap of late answers: it has to say so and blame nobody.
-void a_stalled_load_test_says_so_and_blames_nobody() {
+// When the load test itself is stopped for a while, it finds many responses late. It has to report that it
+// was late, and no breach.
+void stalled_load_test_reports_itself_and_no_breach() {
   std::string file = scratch + "/stalled";
   pid_t child = fork();
   if (child == 0) {
@@ -152,16 +156,16 @@
   kill(child, SIGCONT);
   int status = 0;
   assert(waitpid(child, &status, 0) == child);
-  std::ifstream said(file + ".txt");
-  std::string text((std::istreambuf_iterator<char>(said)), {});
+  std::ifstream output(file + ".txt");
+  std::string text((std::istreambuf_iterator<char>(output)), {});
   if (!WIFEXITED(status) || WEXITSTATUS(status) != 0) std::puts(text.c_str());
   assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   assert(text.find("the rehearsal itself was late") != std::string::npos &&
          result("stalled")["rehearsal"]["late"]);
 }
 
-void a_report_stands_alone() {
-  assert(play("run calm --length 1 --report " + scratch + "/pages").exit == 0);
+void html_report_is_self_contained() {
+  assert(run_program("run calm --length 1 --report " + scratch + "/pages").exit_code == 0);
   std::ifstream file(scratch + "/pages/calm-1.html");
   std::string page((std::istreambuf_iterator<char>(file)), {});
   assert(page.find("<svg") != std::string::npos && page.find("http://") == std::string::npos &&
@@ -170,21 +174,21 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-  assert(count == 3);
-  load_test = words[1];
-  folder = words[2];
-  std::string made = (std::filesystem::temp_directory_path() / "plays-XXXXXX").string();
-  assert(mkdtemp(made.data()));
-  scratch = made;
-  what_cant_be_used_exits_with_2();
-  every_vice_is_caught_for_its_own_rule_only();
-  a_program_that_crashes_is_told();
-  the_same_seed_gives_the_same_schedule();
-  a_report_stands_alone();
-  a_stalled_load_test_says_so_and_blames_nobody();
-  three_hundred_restarts_leave_no_descriptor_behind();
-  two_hundred_reloads_under_faults_break_no_rule();
+int main(int argc, char** argv) {
+  assert(argc == 3);
+  load_test = argv[1];
+  folder = argv[2];
+  std::string template_path = (std::filesystem::temp_directory_path() / "plays-XXXXXX").string();
+  assert(mkdtemp(template_path.data()));
+  scratch = template_path;
+  invalid_usage_exits_with_2();
+  every_vice_breaks_only_its_own_rule();
+  crashing_sidecar_is_reported();
+  same_seed_gives_same_schedule();
+  html_report_is_self_contained();
+  stalled_load_test_reports_itself_and_no_breach();
+  restarts_leak_no_descriptors();
+  reloads_under_faults_break_no_rule();
   std::filesystem::remove_all(scratch);
-  std::puts("plays: all stories hold");
+  std::puts("command line: all tests passed");
 }
--- a/tools/load_test/tests/components.cpp
+++ b/tools/load_test/tests/components.cpp
@@ -1,4 +1,4 @@
-// The load test's own parts: what can't be trusted here can't judge anything else.
+// Tests of the load test's own components.
 #undef NDEBUG
 #include <unistd.h>
 
@@ -25,14 +25,14 @@
       "1\r\n\r\n4\r\nwiki\r\n5;x=y\r\npedia\r\n0\r\n\r\n"
       "HTTP/1.1 503 No\r\nContent-Length: 3\r\n\r\nno\n";
   for (std::size_t split = 0; split <= text.size(); ++split) {
-    Reader reader(Reader::Of::Answers);
-    std::vector<Message> read;
+    HttpReader reader(HttpReader::Kind::Responses);
+    std::vector<HttpMessage> read;
     for (std::string_view part :
          {std::string_view(text).substr(0, split), std::string_view(text).substr(split)}) {
       while (!part.empty()) {
         part.remove_prefix(reader.feed(part));
-        assert(!reader.bad());
-        if (reader.whole()) read.push_back(reader.take());
+        assert(!reader.invalid());
+        if (reader.complete()) read.push_back(reader.take());
       }
     }
     assert(read.size() == 2 && read[0].body == "wikipedia" && read[0].header("x-one") == "1");
@@ -40,31 +40,31 @@
   }
 }
 
-void what_can_be_read_in_two_ways_is_not_read() {
+void ambiguous_messages_are_rejected() {
   for (const char* text :
        {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc", "nothing that can be read\r\n\r\n"}) {
-    Reader reader(Reader::Of::Answers);
+    HttpReader reader(HttpReader::Kind::Responses);
     reader.feed(text);
-    assert(reader.bad());
+    assert(reader.invalid());
   }
 }
 
-std::string fault_of(const std::string& text) {
+std::string scenario_error(const std::string& text) {
   try {
     read_scenario(text, "a.toml");
     return "";
-  } catch (const Unusable& fault) {
-    return fault.what();
+  } catch (const InvalidInput& error) {
+    return error.what();
   }
 }
 
-void a_scenario_that_cant_be_used_says_where_and_why() {
+void invalid_scenario_reports_location_and_reason() {
   auto says = [](const std::string& text, const char* where, const char* what) {
-    std::string fault = fault_of(text);
-    if (fault.starts_with(where) && fault.find(what) != std::string::npos) return true;
-    std::printf("said: %s\n", fault.c_str());
+    std::string error = scenario_error(text);
+    if (error.starts_with(where) && error.find(what) != std::string::npos) return true;
+    std::printf("said: %s\n", error.c_str());
     return false;
   };
   assert(says("length = \n", "a.toml:1", ""));
@@ -77,62 +77,64 @@
               "a sidecar of the first tier"));
   assert(says("[[prefix]]\nname = \"x\"\ntarget_latency = 3\n", "a.toml:1", "under its target latency"));
   assert(says("list_delay = [2, 1]\n", "a.toml:1", "low end above"));
-  assert(fault_of("[clients]\nrate = 5\n[[fault]]\nkind = \"slow\"\non = \"bron/*\"\n").empty());
+  assert(scenario_error("[clients]\nrate = 5\n[[fault]]\nkind = \"slow\"\non = \"bron/*\"\n").empty());
 }
 
-void the_same_seed_gives_the_same_day() {
+void same_seed_generates_same_scenario_and_arrivals() {
   for (std::uint64_t seed : {1u, 2u, 99u}) {
-    Scenario one = draw_scenario(seed), other = draw_scenario(seed);
+    Scenario one = generate_scenario(seed), other = generate_scenario(seed);
     assert(write_scenario(one) == write_scenario(other));
-    assert(print_of(draw_arrivals(one, seed), one) == print_of(draw_arrivals(other, seed), other));
-    assert(print_of(draw_arrivals(one, seed), one) != print_of(draw_arrivals(one, seed + 1), one));
+    assert(schedule_hash(generate_arrivals(one, seed), one) ==
+           schedule_hash(generate_arrivals(other, seed), other));
+    assert(schedule_hash(generate_arrivals(one, seed), one) !=
+           schedule_hash(generate_arrivals(one, seed + 1), one));
   }
-  assert(write_scenario(draw_scenario(1)) != write_scenario(draw_scenario(2)));
+  assert(write_scenario(generate_scenario(1)) != write_scenario(generate_scenario(2)));
 }
 
-void every_drawn_scenario_can_be_written_and_read_again() {
+void generated_scenarios_survive_writing_and_reading() {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-    Scenario drawn = draw_scenario(seed);
+    Scenario drawn = generate_scenario(seed);
     Scenario again = read_scenario(write_scenario(drawn), "drawn.toml");
     assert(again.faults.size() == drawn.faults.size() && again.tiers.size() == drawn.tiers.size());
     assert(write_scenario(again) == write_scenario(drawn));
   }
 }
 
-void a_burst_brings_more_and_a_scale_moves_all_times() {
+void burst_adds_arrivals_and_scaling_changes_all_times() {
   Scenario scenario = default_scenario();
   scenario.clients.rate = 200;
   scenario.length = 10;
-  std::size_t usual = draw_arrivals(scenario, 3).size();
+  std::size_t usual = generate_arrivals(scenario, 3).size();
   Fault burst;
-  burst.kind = Trouble::Burst;
+  burst.kind = FaultKind::Burst;
   burst.at = 2;
-  burst.span = 4;
+  burst.duration = 4;
   burst.factor = 3;
   scenario.faults = {burst};
-  std::size_t more = draw_arrivals(scenario, 3).size();
+  std::size_t more = generate_arrivals(scenario, 3).size();
   assert(double(more) > 1.6 * double(usual) && double(more) < 2.0 * double(usual));
-  stretch(scenario, 2);
+  scale_times(scenario, 2);
   assert(scenario.length == 20 && scenario.faults[0].at == 4 && scenario.clients.rate == 100);
 }
 
-void a_group_remembers_a_tag_for_its_time() {
-  TagMemory memory;
-  assert(!memory.seen("k", 1, 2) && memory.seen("k", 2.5, 2));
-  assert(!memory.seen("k", 3.6, 2));  // forgotten since
+void group_recognises_key_within_its_window() {
+  IdempotencyMemory memory;
+  assert(!memory.check_and_record("k", 1, 2) && memory.check_and_record("k", 2.5, 2));
+  assert(!memory.check_and_record("k", 3.6, 2));  // the window has expired
 }
 
-void percentiles_are_within_their_error() {
+void quantiles_are_within_their_error() {
   Histogram histogram;
   for (int i = 1; i <= 10000; ++i) histogram.add(i * 1e-5);
   for (double share : {0.5, 0.9, 0.99, 0.999})
-    assert(std::abs(histogram.at(share) / (share * 0.1) - 1) < 0.012);
+    assert(std::abs(histogram.quantile(share) / (share * 0.1) - 1) < 0.012);
 }
 
-void an_interval_is_students() {
+void confidence_interval_uses_student_t() {
   Estimate one = estimate({1, 2, 3, 4, 5});  // half width 2.776 x sqrt(2.5 / 5)
-  assert(std::abs(one.mean - 3) < 1e-9 && std::abs(one.half - 1.963) < 0.001);
-  assert(std::isinf(estimate({1}).half));
+  assert(std::abs(one.mean - 3) < 1e-9 && std::abs(one.half_width - 1.963) < 0.001);
+  assert(std::isinf(estimate({1}).half_width));
 }
 
 nlohmann::json result_of(const char* label, int seed, double service) {
@@ -158,7 +160,7 @@
           {"latency", {{"p50", 0.1}, {"p99", 0.2}}}};
 }
 
-void a_difference_is_real_only_beyond_its_error() {
+void difference_is_significant_only_beyond_its_interval() {
   auto compared = [](double spread, double apart) {
     std::vector<nlohmann::json> results;
     for (int seed = 0; seed < 6; ++seed) {
@@ -181,100 +183,102 @@
   assert(refused);
 }
 
-void a_page_shows_texts_and_runs_none() {
-  std::string page = page_of(result_of("a", 1, 0.9));
+void html_report_escapes_text() {
+  std::string page = html_report(result_of("a", 1, 0.9));
   assert(page.find("&lt;b&gt;") != std::string::npos && page.find("<b>x</b>") == std::string::npos);
 }
 
-void addresses_off_this_machine_are_not_load_targets() {
+void only_loopback_addresses_are_accepted() {
   for (const char* text :
        {"10.0.0.1:80", "8.8.8.8:53", "127.0.0.1", "127.0.0.1:0", "127.0.0.1:x", "example:80"}) {
     bool refused = false;
     try {
-      read_address(text);
+      parse_address(text);
     } catch (const std::invalid_argument&) {
       refused = true;
     }
     assert(refused);
   }
-  assert(read_address("localhost:80").text() == "127.0.0.1:80");
+  assert(parse_address("localhost:80").text() == "127.0.0.1:80");
 }
 
-// Two ends of one connection, to see that it breaks at the byte that was asked for.
-class Ends final : public Line::Owner, public Listener::Owner {
+// Both ends of one connection, to check at which byte it is reset.
+class ConnectionPair final : public Connection::Owner, public Listener::Owner {
  public:
-  Ends() : listener(loop, *this, {"127.0.0.1", port()}, 0), near(loop, *this), far(loop, *this) {}
+  ConnectionPair() : listener(loop, *this, {"127.0.0.1", port()}, 0), near(loop, *this), far(loop, *this) {}
   static int port() {
     static int next = 21000 + int(getpid() % 9000);
     return next++;
   }
-  void on_bytes(Line& line, std::string_view bytes) override {
-    (&line == &far ? at_far : at_near) += bytes.size();
+  void on_bytes(Connection& connection, std::string_view bytes) override {
+    (&connection == &far ? at_far : at_near) += bytes.size();
   }
-  void on_end(Line& line, bool reset) override { (&line == &far ? far_ended : near_ended) = reset ? 2 : 1; }
-  void on_accepted(Listener&, int descriptor) override { far.adopt(descriptor); }
-  void turn(double seconds) {
+  void on_end(Connection& connection, bool reset) override {
+    (&connection == &far ? far_ended : near_ended) = reset ? 2 : 1;
+  }
+  void on_accepted(Listener&, int descriptor) override { far.attach(descriptor); }
+  void run_for(double seconds) {
     double until = loop.now() + seconds;
     loop.run([&] { return loop.now() >= until; });
   }
-  Loop loop;
+  EventLoop loop;
   Listener listener;
-  Line near, far;
+  Connection near, far;
   std::size_t at_far = 0, at_near = 0;
   int far_ended = 0, near_ended = 0;  // 1: closed, 2: reset
 };
 
-void a_connection_breaks_at_the_byte_that_was_asked_for() {
+void connection_resets_at_the_configured_byte() {
   for (std::size_t byte : {1u, 7u, 100u}) {
-    Ends in;
+    ConnectionPair in;
     in.near.connect(in.listener.address());
-    in.turn(0.03);
-    in.far.cut_in(byte);
+    in.run_for(0.03);
+    in.far.reset_after_reading(byte);
     in.near.send(std::string(200, 'x'));
-    in.turn(0.05);
+    in.run_for(0.05);
     assert(in.at_far < byte + 1 && in.far_ended == 2 && in.near_ended == 2);
-    Ends out;
+    ConnectionPair out;
     out.near.connect(out.listener.address());
-    out.turn(0.03);
-    out.far.cut_out(byte);
+    out.run_for(0.03);
+    out.far.reset_after_writing(byte);
     out.far.send(std::string(200, 'y'));
-    out.turn(0.05);
+    out.run_for(0.05);
     assert(out.at_near <= byte && out.near_ended == 2);
   }
 }
 
-void a_blocked_listener_lets_nobody_up_and_a_shut_one_refuses() {
-  Ends ends;
-  ends.listener.block();
-  ends.turn(0.02);
-  Line late(ends.loop, ends);
-  late.connect(ends.listener.address());
-  ends.turn(0.1);
-  assert(late.open() && !late.up());
+void blocked_listener_hangs_and_stopped_one_refuses() {
+  ConnectionPair pair;
+  pair.listener.block_connects();
+  pair.run_for(0.02);
+  Connection late(pair.loop, pair);
+  late.connect(pair.listener.address());
+  pair.run_for(0.1);
+  assert(late.is_open() && !late.connected());
   late.close();
-  ends.listener.shut();
-  Line refused(ends.loop, ends);
-  bool begun = refused.connect(ends.listener.address());
-  ends.turn(0.03);
-  assert(!begun || !refused.open());
+  pair.listener.stop_listening();
+  Connection refused(pair.loop, pair);
+  bool started = refused.connect(pair.listener.address());
+  pair.run_for(0.03);
+  assert(!started || !refused.is_open());
 }
 
 }  // namespace
 
 int main() {
   messages_are_read_wherever_they_are_split();
-  what_can_be_read_in_two_ways_is_not_read();
-  a_scenario_that_cant_be_used_says_where_and_why();
-  the_same_seed_gives_the_same_day();
-  every_drawn_scenario_can_be_written_and_read_again();
-  a_burst_brings_more_and_a_scale_moves_all_times();
-  a_group_remembers_a_tag_for_its_time();
-  percentiles_are_within_their_error();
-  an_interval_is_students();
-  a_difference_is_real_only_beyond_its_error();
-  a_page_shows_texts_and_runs_none();
-  addresses_off_this_machine_are_not_load_targets();
-  a_connection_breaks_at_the_byte_that_was_asked_for();
-  a_blocked_listener_lets_nobody_up_and_a_shut_one_refuses();
-  std::puts("pieces: all stories hold");
+  ambiguous_messages_are_rejected();
+  invalid_scenario_reports_location_and_reason();
+  same_seed_generates_same_scenario_and_arrivals();
+  generated_scenarios_survive_writing_and_reading();
+  burst_adds_arrivals_and_scaling_changes_all_times();
+  group_recognises_key_within_its_window();
+  quantiles_are_within_their_error();
+  confidence_interval_uses_student_t();
+  difference_is_significant_only_beyond_its_interval();
+  html_report_escapes_text();
+  only_loopback_addresses_are_accepted();
+  connection_resets_at_the_configured_byte();
+  blocked_listener_hangs_and_stopped_one_refuses();
+  std::puts("components: all tests passed");
 }
--- a/tools/load_test/tests/scale.cpp
+++ b/tools/load_test/tests/scale.cpp
@@ -1,5 +1,5 @@
-// What of a sidecar's needs does not depend on the machine, with a list of 3,200 endpoints against one of
-// 200.
+// Checks the metrics of a sidecar that do not depend on the machine, with a list of 3,200 endpoints compared
+// with one of 200.
 #undef NDEBUG
 #include "tools/load_test/scale/scale.h"
 
@@ -11,29 +11,29 @@
 
 namespace {
 
-// The whole list was asked for every 2 s: 10 s took 2.5 MB of lists where 2 MB are allowed.
-void lists_descriptors_and_connections_stay_within_their_bounds(const std::string& program) {
+// Guards against requesting the full list every 2 s, which took 2.5 MB in 10 s where 2 MB are allowed.
+void machine_independent_metrics_stay_within_bounds(const std::string& program) {
   ScalePlan plan;
   plan.command = program;
   plan.endpoints = {200, 3200};
   plan.seconds = 11;
-  plan.side_by_side = true;
-  std::vector<ScaleFigures> days = measure_scale(plan);
-  for (const ScaleBound& bound : scale_bounds(days.front(), days.back())) {
-    bool of_the_machine = bound.what.starts_with("CPU") || bound.what.starts_with("peak memory");
+  plan.parallel = true;
+  std::vector<ScaleMetrics> runs = measure_scale(plan);
+  for (const ScaleBound& bound : scale_bounds(runs.front(), runs.back())) {
+    bool machine_dependent = bound.what.starts_with("CPU") || bound.what.starts_with("peak memory");
     std::printf("%s: %.2f, bound %.2f\n", bound.what.c_str(), bound.measured, bound.bound);
-    assert(of_the_machine || bound.holds());
+    assert(machine_dependent || bound.holds());
   }
-  // Far under the bound: but for the first one lists go by what changes.
-  assert(days.back().lists <= 2);
+  // Much stricter than the bound: after the first list only changes are sent.
+  assert(runs.back().full_lists <= 2);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   setvbuf(stdout, nullptr, _IOLBF, 0);
-  assert(count == 2);
+  assert(argc == 2);
   std::signal(SIGPIPE, SIG_IGN);
-  lists_descriptors_and_connections_stay_within_their_bounds(words[1]);
+  machine_independent_metrics_stay_within_bounds(argv[1]);
   std::puts("scale: all bounds hold");
 }
--- a/tools/load_test/world/discovery.cpp
+++ b/tools/load_test/world/discovery.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-constexpr double kEmptyLine = 2;  // seconds between them while nothing changes
+constexpr double kEmptyLineInterval =
+    2;  // seconds between the empty lines that keep an unchanged watch alive
 
-nlohmann::json json_of(const std::vector<Listed>& entries, std::int64_t index, bool whole) {
+nlohmann::json to_json(const std::vector<ListedEndpoint>& entries, std::int64_t index, bool is_snapshot) {
   static constexpr const char* kStates[] = {"active", "leaving", "left"};
   nlohmann::json list = nlohmann::json::array();
-  for (const Listed& entry : entries) {
+  for (const ListedEndpoint& entry : entries) {
     list.push_back({{"name", entry.name},
                     {"address", entry.address},
                     {"zone", "here"},
@@ -22,7 +23,7 @@
                     {"weight", 1.0},
                     {"since_ms", entry.since_ms}});
   }
-  return {{"index", index}, {"snapshot", whole}, {"endpoints", list}};
+  return {{"index", index}, {"snapshot", is_snapshot}, {"endpoints", list}};
 }
 
 std::string chunk(const std::string& text) {
@@ -33,126 +34,127 @@
 
 }  // namespace
 
-class Agent::Link final : Line::Owner {
+class DiscoveryAgent::Session final : Connection::Owner {
  public:
-  Link(Agent& agent, int descriptor)
-      : agent_(agent), line_(agent.world_.loop, *this), reader_(Reader::Of::Requests) {
-    line_.adopt(descriptor);
+  Session(DiscoveryAgent& agent, int descriptor)
+      : agent_(agent), connection_(agent.context_.loop, *this), reader_(HttpReader::Kind::Requests) {
+    connection_.attach(descriptor);
   }
-  ~Link() override { agent_.world_.loop.cancel(timer_); }
-  void line(const std::string& text) {
-    if (watching_) line_.send(chunk(text + "\n"));
+  ~Session() override { agent_.context_.loop.cancel(timer_); }
+  void send_line(const std::string& text) {
+    if (watching_) connection_.send(chunk(text + "\n"));
   }
   void close() {
-    line_.close();
-    agent_.let_go(*this);
+    connection_.close();
+    agent_.remove(*this);
   }
   bool watching() const { return watching_; }
 
  private:
-  void on_bytes(Line&, std::string_view bytes) override {
+  void on_bytes(Connection&, std::string_view bytes) override {
     reader_.feed(bytes);
-    if (reader_.bad()) return close();
-    if (reader_.whole()) begin(reader_.take());
+    if (reader_.invalid()) return close();
+    if (reader_.complete()) handle_request(reader_.take());
   }
-  void on_end(Line&, bool) override { close(); }
-  void begin(const Message& request) {
-    if (agent_.silent_ > 0) return;  // asked and never answered; a later line still may come
+  void on_end(Connection&, bool) override { close(); }
+  void handle_request(const HttpMessage& request) {
+    if (agent_.silent_ > 0) return;  // no response, as long as discovery is silent
     if (request.target.find("watch=1") == std::string::npos) {
-      Message answer;
-      answer.status = 200;
-      answer.body = json_of(agent_.view(), agent_.index_, true).dump();
-      line_.send(write(answer));
+      HttpMessage response;
+      response.status = 200;
+      response.body = to_json(agent_.current_list(), agent_.index_, true).dump();
+      connection_.send(serialize(response));
       return;
     }
     watching_ = true;
-    line_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    agent_.notify(*this, agent_.view(), true);
-    beat();
+    connection_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    agent_.send_list(*this, agent_.current_list(), true);
+    schedule_empty_line();
   }
-  void beat() {
-    timer_ = agent_.world_.loop.at(agent_.world_.loop.now() + kEmptyLine, [this] {
-      if (agent_.silent_ == 0) line("");
-      beat();
+  void schedule_empty_line() {
+    timer_ = agent_.context_.loop.call_at(agent_.context_.loop.now() + kEmptyLineInterval, [this] {
+      if (agent_.silent_ == 0) send_line("");
+      schedule_empty_line();
     });
   }
-  Agent& agent_;
-  Line line_;
-  Reader reader_;
-  Loop::Timer timer_{};
+  DiscoveryAgent& agent_;
+  Connection connection_;
+  HttpReader reader_;
+  EventLoop::Timer timer_{};
   bool watching_ = false;
 };
 
-Agent::Agent(World& world, int sidecar, const Address& at)
-    : world_(world),
+DiscoveryAgent::DiscoveryAgent(RunContext& context, int sidecar, const Address& at)
+    : context_(context),
       sidecar_(sidecar),
-      listener_(std::make_unique<Listener>(world.loop, *this, at, sidecar)) {}
+      listener_(std::make_unique<Listener>(context.loop, *this, at, sidecar)) {}
 
-Agent::~Agent() = default;
+DiscoveryAgent::~DiscoveryAgent() = default;
 
-void Agent::know(std::vector<Listed> entries) {
-  at_first_ = entries;
-  for (Listed& entry : entries) entries_[entry.endpoint] = std::move(entry);
+void DiscoveryAgent::set_initial_list(std::vector<ListedEndpoint> entries) {
+  initial_list_ = entries;
+  for (ListedEndpoint& entry : entries) entries_[entry.endpoint] = std::move(entry);
 }
 
-void Agent::on_accepted(Listener&, int descriptor) {
-  auto link = std::make_unique<Link>(*this, descriptor);
-  const Link* key = link.get();
-  links_.emplace(key, std::move(link));
+void DiscoveryAgent::on_accepted(Listener&, int descriptor) {
+  auto session = std::make_unique<Session>(*this, descriptor);
+  const Session* key = session.get();
+  sessions_.emplace(key, std::move(session));
 }
 
-void Agent::let_go(Link& link) {
-  auto found = links_.extract(&link);
-  if (!found.empty()) world_.loop.bury(std::move(found.mapped()));
+void DiscoveryAgent::remove(Session& session) {
+  auto found = sessions_.extract(&session);
+  if (!found.empty()) context_.loop.delete_later(std::move(found.mapped()));
 }
 
-std::vector<Listed> Agent::view() const {
-  if (old_ > 0) return at_first_;
-  std::vector<Listed> all;
+std::vector<ListedEndpoint> DiscoveryAgent::current_list() const {
+  if (stale_ > 0) return initial_list_;
+  std::vector<ListedEndpoint> result;
   for (const auto& [number, entry] : entries_) {
-    if (entry.state != Event::State::Gone) all.push_back(entry);
+    if (entry.state != Event::State::Gone) result.push_back(entry);
   }
-  return all;
+  return result;
 }
 
-std::string Agent::known_json() const { return json_of(view(), index_, true).dump(); }
+std::string DiscoveryAgent::list_json() const { return to_json(current_list(), index_, true).dump(); }
 
-void Agent::notified_at_start() {
+void DiscoveryAgent::report_initial_list() {
   notified_.clear();
-  for (const Listed& entry : view()) {
+  for (const ListedEndpoint& entry : current_list()) {
     notified_[entry.endpoint] = entry.state;
     Event event{Event::Kind::Notified};
     event.sidecar = sidecar_;
     event.endpoint = entry.endpoint;
     event.state = entry.state;
-    world_.did(event);
+    context_.report_action(event);
   }
 }
 
-void Agent::change(const Listed& entry) {
-  double delay = world_.chance.in(world_.scenario.list_delay) + late_;
-  // In order: what is said of one endpoint later is never overtaken by what was said before.
-  notified_by_ = std::max(notified_by_, world_.loop.now() + delay);
-  world_.loop.at(notified_by_, [this, entry] { apply(entry); });
+void DiscoveryAgent::change(const ListedEndpoint& entry) {
+  double delay = context_.random.uniform_in(context_.scenario.list_delay) + extra_delay_;
+  // Changes are delivered in the order in which they were made.
+  last_delivery_ = std::max(last_delivery_, context_.loop.now() + delay);
+  context_.loop.call_at(last_delivery_, [this, entry] { apply(entry); });
 }
 
-void Agent::apply(const Listed& entry) {
-  if (silent_ > 0) return held_back_.push_back(entry);
+void DiscoveryAgent::apply(const ListedEndpoint& entry) {
+  if (silent_ > 0) return withheld_.push_back(entry);
   entries_[entry.endpoint] = entry;
   ++index_;
-  std::vector<Link*> watching;
-  for (auto& [key, link] : links_) {
-    if (link->watching()) watching.push_back(link.get());
+  std::vector<Session*> watching;
+  for (auto& [key, session] : sessions_) {
+    if (session->watching()) watching.push_back(session.get());
   }
-  for (Link* link : watching) notify(*link, {entry}, false);
+  for (Session* session : watching) send_list(*session, {entry}, false);
 }
 
-void Agent::notify(Link& link, const std::vector<Listed>& entries, bool whole) {
-  link.line(json_of(entries, index_, whole).dump());
-  std::map<int, Event::State> now = whole ? std::map<int, Event::State>() : notified_;
-  for (const Listed& entry : entries) now[entry.endpoint] = entry.state;
+void DiscoveryAgent::send_list(Session& session, const std::vector<ListedEndpoint>& entries,
+                               bool is_snapshot) {
+  session.send_line(to_json(entries, index_, is_snapshot).dump());
+  std::map<int, Event::State> now = is_snapshot ? std::map<int, Event::State>() : notified_;
+  for (const ListedEndpoint& entry : entries) now[entry.endpoint] = entry.state;
   for (const auto& [endpoint, state] : notified_) {
-    if (!now.contains(endpoint)) now[endpoint] = Event::State::Gone;  // left out of a whole list
+    if (!now.contains(endpoint)) now[endpoint] = Event::State::Gone;  // missing in a full list
   }
   for (const auto& [endpoint, state] : now) {
     auto before = notified_.find(endpoint);
@@ -161,37 +163,37 @@
     event.sidecar = sidecar_;
     event.endpoint = endpoint;
     event.state = state;
-    world_.did(event);
+    context_.report_action(event);
   }
   notified_ = std::move(now);
-  std::erase_if(notified_, [](const auto& one) { return one.second == Event::State::Gone; });
+  std::erase_if(notified_, [](const auto& entry) { return entry.second == Event::State::Gone; });
 }
 
-void Agent::silent(bool is) {
-  silent_ += is ? 1 : -1;
+void DiscoveryAgent::set_silent(bool silent) {
+  silent_ += silent ? 1 : -1;
   if (silent_ > 0) return;
-  for (const Listed& entry : std::exchange(held_back_, {})) apply(entry);
+  for (const ListedEndpoint& entry : std::exchange(withheld_, {})) apply(entry);
 }
 
-void Agent::old(bool is) {
-  old_ += is ? 1 : -1;
-  if (!is) return;
-  // Who watches is cut off, so that it asks anew.
-  std::vector<Link*> all;
-  for (auto& [key, link] : links_) all.push_back(link.get());
-  for (Link* link : all) link->close();
+void DiscoveryAgent::set_stale(bool stale) {
+  stale_ += stale ? 1 : -1;
+  if (!stale) return;
+  // Closes all watches, so that the sidecar requests the list again.
+  std::vector<Session*> result;
+  for (auto& [key, session] : sessions_) result.push_back(session.get());
+  for (Session* session : result) session->close();
 }
 
-void Agent::move(Address to, double old_closes_in) {
-  auto before = std::make_shared<std::unique_ptr<Listener>>(std::move(listener_));
-  (*before)->shut();
-  listener_ = std::make_unique<Listener>(world_.loop, *this, to, sidecar_);
-  std::vector<const Link*> open;
-  for (auto& [key, link] : links_) open.push_back(key);
-  world_.loop.at(world_.loop.now() + old_closes_in, [this, open, before] {
-    for (const Link* key : open) {
-      auto found = links_.find(key);
-      if (found != links_.end()) found->second->close();
+void DiscoveryAgent::move_to(Address address, double close_old_after) {
+  auto old_listener = std::make_shared<std::unique_ptr<Listener>>(std::move(listener_));
+  (*old_listener)->stop_listening();
+  listener_ = std::make_unique<Listener>(context_.loop, *this, address, sidecar_);
+  std::vector<const Session*> open;
+  for (auto& [key, session] : sessions_) open.push_back(key);
+  context_.loop.call_at(context_.loop.now() + close_old_after, [this, open, old_listener] {
+    for (const Session* key : open) {
+      auto found = sessions_.find(key);
+      if (found != sessions_.end()) found->second->close();
     }
   });
 }
--- a/tools/load_test/world/discovery.h
+++ b/tools/load_test/world/discovery.h
@@ -1,4 +1,5 @@
-// Discovery as one sidecar meets it: an agent on its own machine, told of changes late, now and then silent.
+// A stand-in for the discovery agent on a sidecar's machine: it delivers changes of the endpoint list with a
+// delay and can be silent or out of date.
 #pragma once
 
 #include <map>
@@ -12,48 +13,48 @@
 
 namespace load_test {
 
-struct Listed {
-  int endpoint = -1;  // its number in the run
+struct ListedEndpoint {
+  int endpoint = -1;  // number of the endpoint in this run
   std::string name, address;
   int group = 0;
   Event::State state = Event::State::Ready;
-  std::int64_t since_ms = 0;  // Unix time; 0: long ago
+  std::int64_t since_ms = 0;  // when it started, Unix time; 0: long ago
 };
 
-class Agent final : public Listener::Owner {
+class DiscoveryAgent final : public Listener::Owner {
  public:
-  Agent(World& world, int sidecar, const Address& at);
-  ~Agent() override;
-
-  void change(const Listed& entry);  // is told after a delay of its own
-  void know(std::vector<Listed> entries);
-  std::string known_json() const;  // what its sidecar starts with, and is told by it
-  void notified_at_start();
-  void silent(bool is);
-  void late(double by) { late_ += by; }
-  void old(bool is);
-  void move(Address to, double old_closes_in);
+  DiscoveryAgent(RunContext& context, int sidecar, const Address& at);
+  ~DiscoveryAgent() override;
+
+  void change(const ListedEndpoint& entry);  // delivered after a random delay
+  void set_initial_list(std::vector<ListedEndpoint> entries);
+  std::string list_json() const;  // the current list, for the sidecar's configuration
+  void report_initial_list();
+  void set_silent(bool silent);
+  void add_delay(double seconds) { extra_delay_ += seconds; }
+  void set_stale(bool stale);
+  void move_to(Address address, double close_old_after);
   const Address& address() const { return listener_->address(); }
 
  private:
-  class Link;
+  class Session;
   void on_accepted(Listener& listener, int descriptor) override;
-  void apply(const Listed& entry);
-  void notify(Link& link, const std::vector<Listed>& entries, bool whole);
-  std::vector<Listed> view() const;
-  void let_go(Link& link);
+  void apply(const ListedEndpoint& entry);
+  void send_list(Session& session, const std::vector<ListedEndpoint>& entries, bool is_snapshot);
+  std::vector<ListedEndpoint> current_list() const;
+  void remove(Session& session);
 
-  World& world_;
+  RunContext& context_;
   const int sidecar_;
   std::unique_ptr<Listener> listener_;
-  std::map<int, Listed> entries_;  // by endpoint
-  std::vector<Listed> at_first_;
-  std::vector<Listed> held_back_;  // while silent
+  std::map<int, ListedEndpoint> entries_;  // by endpoint
+  std::vector<ListedEndpoint> initial_list_;
+  std::vector<ListedEndpoint> withheld_;  // changes that wait until the silence ends
   std::map<int, Event::State> notified_;
-  int silent_ = 0, old_ = 0;
-  double late_ = 0, notified_by_ = 0;
+  int silent_ = 0, stale_ = 0;
+  double extra_delay_ = 0, last_delivery_ = 0;
   std::int64_t index_ = 1;
-  std::unordered_map<const Link*, std::unique_ptr<Link>> links_;
+  std::unordered_map<const Session*, std::unique_ptr<Session>> sessions_;
 };
 
 }  // namespace load_test
--- a/tools/load_test/world/endpoint.cpp
+++ b/tools/load_test/world/endpoint.cpp
@@ -5,123 +5,124 @@
 
 namespace load_test {
 
-bool TagMemory::seen(const std::string& key, double now, double memory) {
-  while (!order_.empty() && order_.front().first < now - memory) {
-    first_.erase(order_.front().second);
-    order_.pop_front();
+bool IdempotencyMemory::check_and_record(const std::string& key, double now, double window) {
+  while (!expiry_order_.empty() && expiry_order_.front().first < now - window) {
+    first_seen_.erase(expiry_order_.front().second);
+    expiry_order_.pop_front();
   }
-  if (!first_.emplace(key, now).second) return true;
-  order_.emplace_back(now, key);
+  if (!first_seen_.emplace(key, now).second) return true;
+  expiry_order_.emplace_back(now, key);
   return false;
 }
 
 struct Endpoint::Job {
-  Link* link = nullptr;  // none: given up
+  Session* session = nullptr;  // null once the attempt is cancelled
   std::string request, request_class, target, tenant, key;
   bool safe = true;
-  double piece = 0;  // work of each of its two pieces
-  double ends = 0;   // when its caller stops waiting
-  int pieces = 0, calls = 0;
-  std::uint64_t life = 0;
-  std::string call;  // the one that is out
-  bool working = false, effect = false;
+  double half_work = 0;  // the work is done in two halves, with the calls to the next tier in between
+  double deadline = 0;   // when the client stops waiting
+  int halves_done = 0, calls_left = 0;
+  std::uint64_t generation = 0;
+  std::string pending_call;  // id of the pending request to the next tier
+  bool on_core = false, executed = false;
 };
 
-class Endpoint::Link final : public Line::Owner {
+class Endpoint::Session final : public Connection::Owner {
  public:
-  Link(Endpoint& endpoint, int sidecar)
+  Session(Endpoint& endpoint, int sidecar)
       : endpoint(endpoint),
         sidecar(sidecar),
-        line(endpoint.world_.loop, *this),
-        reader(Reader::Of::Requests),
-        used(endpoint.world_.loop.now()) {}
-
-  void on_bytes(Line&, std::string_view bytes) override {
-    used = endpoint.world_.loop.now();
-    while (!bytes.empty() && line.open()) {
-      bool begun = reader.begun();
+        connection(endpoint.context_.loop, *this),
+        reader(HttpReader::Kind::Requests),
+        last_used(endpoint.context_.loop.now()) {}
+
+  void on_bytes(Connection&, std::string_view bytes) override {
+    last_used = endpoint.context_.loop.now();
+    while (!bytes.empty() && connection.is_open()) {
+      bool started = reader.started();
       std::size_t count = reader.feed(bytes);
       bytes.remove_prefix(count);
-      if (reader.bad()) return endpoint.let_go(*this);
-      if (!begun) first_byte = {endpoint.world_.loop.now(), endpoint.world_.loop.since()};
-      if (!reader.whole()) return;
-      // Whatever comes before an answer is out would be answered out of turn: nobody sends it.
-      if (job) return endpoint.let_go(*this);
-      endpoint.take(*this, reader.take());
+      if (reader.invalid()) return endpoint.remove(*this);
+      if (!started) first_byte = {endpoint.context_.loop.now(), endpoint.context_.loop.earliest_event_time()};
+      if (!reader.complete()) return;
+      // The sidecar does not pipeline requests: one that arrives before the response to the previous one is
+      // an error.
+      if (job) return endpoint.remove(*this);
+      endpoint.handle_request(*this, reader.take());
     }
   }
-  void on_end(Line&, bool) override { endpoint.let_go(*this); }
-  void on_written(Line&) override {
-    if (last) line.finish_sending();
+  void on_end(Connection&, bool) override { endpoint.remove(*this); }
+  void on_all_written(Connection&) override {
+    if (close_after_write) connection.shutdown_write();
   }
 
   Endpoint& endpoint;
   const int sidecar;
-  Line line;
-  Reader reader;
+  Connection connection;
+  HttpReader reader;
   JobPtr job;
-  double used;
+  double last_used;
   std::pair<double, double> first_byte;
-  bool fresh = true, last = false, ruined = false;
+  bool first_request = true, close_after_write = false, unusable = false;
 };
 
-Endpoint::Endpoint(World& world, Place place, int number, std::string name, double speed, TagMemory& memory,
-                   Caller* below)
-    : world_(world),
-      place_(std::move(place)),
+Endpoint::Endpoint(RunContext& context, Placement placement, int number, std::string name, double speed,
+                   IdempotencyMemory& memory, SidecarClient* next_tier)
+    : context_(context),
+      placement_(std::move(placement)),
       number_(number),
       name_(std::move(name)),
       speed_(speed),
       memory_(memory),
-      below_(below) {
-  for (const auto& [sidecar, address] : place_.listeners) addresses_[sidecar] = address.text();
+      next_tier_(next_tier) {
+  for (const auto& [sidecar, address] : placement_.listeners) addresses_[sidecar] = address.text();
 }
 
-Endpoint::~Endpoint() { world_.loop.cancel(sweep_); }
+Endpoint::~Endpoint() { context_.loop.cancel(maintenance_timer_); }
 
-// ---- life
+// ---- start and stop
 
-void Endpoint::start(bool fresh) {
-  if (fallen_) return;
+void Endpoint::start(bool slow_start) {
+  if (collapsed_) return;
   up_ = true;
-  ++life_;
+  ++generation_;
   slow_start_.reset();
-  started_ = fresh ? world_.loop.now() : -1e9;
-  crowded_since_ = -1;
-  slow_until_ = 0;
+  started_ = slow_start ? context_.loop.now() : -1e9;
+  overloaded_since_ = -1;
+  overload_until_ = 0;
   if (listeners_.empty()) {
-    for (const auto& [sidecar, address] : place_.listeners)
-      listeners_.push_back(std::make_unique<Listener>(world_.loop, *this, address, sidecar));
+    for (const auto& [sidecar, address] : placement_.listeners)
+      listeners_.push_back(std::make_unique<Listener>(context_.loop, *this, address, sidecar));
   }
-  set_listeners();
-  if (fresh) {
-    Event event{Event::Kind::Started};
+  update_listeners();
+  if (slow_start) {
+    Event event{Event::Kind::EndpointStarted};
     event.endpoint = number_;
-    event.group = place_.group;
-    event.figure = speed_ * plan().cores;
-    world_.did(event);
+    event.group = placement_.group;
+    event.value = speed_ * plan().cores;
+    context_.report_action(event);
   }
-  world_.loop.cancel(sweep_);
-  sweep();
+  context_.loop.cancel(maintenance_timer_);
+  run_maintenance();
 }
 
 void Endpoint::crash() {
   up_ = false;
-  ++life_;
-  for (auto& [key, link] : links_) link->line.reset();
-  end();
+  ++generation_;
+  for (auto& [key, session] : sessions_) session->connection.reset();
+  stop();
 }
 
-void Endpoint::end() {
+void Endpoint::stop() {
   up_ = false;
-  ++life_;
-  set_listeners();
-  std::vector<Link*> all;
-  for (auto& [key, link] : links_) all.push_back(link.get());
-  for (Link* link : all) let_go(*link);
+  ++generation_;
+  update_listeners();
+  std::vector<Session*> all;
+  for (auto& [key, session] : sessions_) all.push_back(session.get());
+  for (Session* session : all) remove(*session);
   queue_.clear();
-  held_.clear();
-  working_ = in_hand_ = 0;
+  frozen_jobs_.clear();
+  busy_cores_ = accepted_ = 0;
 }
 
 void Endpoint::rename(int number, std::string name) {
@@ -129,91 +130,97 @@
   name_ = std::move(name);
 }
 
-void Endpoint::change(const std::function<void(Condition&)>& how) {
-  how(condition_);
-  set_listeners();
-  for (auto& [key, link] : links_) {
-    if (!link->ruined) link->line.deaf(condition_.frozen > 0);
+void Endpoint::update_faults(const std::function<void(FaultState&)>& update) {
+  update(fault_state_);
+  update_listeners();
+  for (auto& [key, session] : sessions_) {
+    if (!session->unusable) session->connection.set_paused(fault_state_.frozen > 0);
   }
-  if (condition_.frozen > 0) return;
-  for (const JobPtr& job : std::exchange(held_, {})) {
-    if (job->life == life_) piece_done(job);
+  if (fault_state_.frozen > 0) return;
+  for (const JobPtr& job : std::exchange(frozen_jobs_, {})) {
+    if (job->generation == generation_) finish_work(job);
   }
 }
 
-void Endpoint::set_listeners() {
+void Endpoint::update_listeners() {
   for (auto& listener : listeners_) {
-    if (!up_ || condition_.refusing > 0) listener->shut();
-    else if (condition_.unreachable > 0) listener->block();
-    else {
+    if (!up_ || fault_state_.refusing > 0) {
+      listener->stop_listening();
+    } else if (fault_state_.unreachable > 0) {
+      listener->block_connects();
+    } else {
       listener->open();
-      listener->deaf(condition_.frozen > 0);
+      listener->set_paused(fault_state_.frozen > 0);
     }
   }
 }
 
 void Endpoint::drop_connections() {
-  for (auto& [key, link] : links_) {
-    link->ruined = true;
-    link->line.deaf(true);
+  for (auto& [key, session] : sessions_) {
+    session->unusable = true;
+    session->connection.set_paused(true);
   }
 }
 
-void Endpoint::sweep() {
-  double now = world_.loop.now();
-  std::vector<Link*> idle;
-  for (auto& [key, link] : links_) {
-    if (!link->job && !link->ruined && condition_.frozen == 0 && now - link->used > world_.scenario.idle_time)
-      idle.push_back(link.get());
+void Endpoint::run_maintenance() {
+  double now = context_.loop.now();
+  std::vector<Session*> idle;
+  for (auto& [key, session] : sessions_) {
+    if (!session->job && !session->unusable && fault_state_.frozen == 0 &&
+        now - session->last_used > context_.scenario.idle_time)
+      idle.push_back(session.get());
   }
-  for (Link* link : idle) let_go(*link);
-  // A crowd makes it slow, and it stays so for a while after.
+  for (Session* session : idle) remove(*session);
+  // A long queue slows the endpoint down, for a while longer than the queue lasts.
   int waiting = int(queue_.size());
-  bool crowded = plan().crowd > 0 && waiting > plan().crowd * plan().cores;
-  if (!crowded) crowded_since_ = -1;
-  else if (crowded_since_ < 0) crowded_since_ = now;
-  if (crowded && now - crowded_since_ > plan().crowd_after) slow_until_ = now + plan().crowd_span;
-  sweep_ = world_.loop.at(now + 0.1, [this] { sweep(); });
+  bool overloaded = plan().overload_depth > 0 && waiting > plan().overload_depth * plan().cores;
+  if (!overloaded) overloaded_since_ = -1;
+  else if (overloaded_since_ < 0) overloaded_since_ = now;
+  if (overloaded && now - overloaded_since_ > plan().overload_after)
+    overload_until_ = now + plan().overload_duration;
+  maintenance_timer_ = context_.loop.call_at(now + 0.1, [this] { run_maintenance(); });
 }
 
 // ---- connections and requests
 
 void Endpoint::on_accepted(Listener& listener, int descriptor) {
-  auto link = std::make_unique<Link>(*this, listener.number());
-  Link& fresh = *link;
-  links_.emplace(&fresh, std::move(link));
-  most_connections_ = std::max(most_connections_, links_.size());
-  if (world_.chance.happens(condition_.reset_in)) fresh.line.cut_in(std::size_t(condition_.bytes));
-  if (world_.chance.happens(condition_.reset_out)) fresh.line.cut_out(std::size_t(condition_.bytes));
-  fresh.line.adopt(descriptor);
+  auto session = std::make_unique<Session>(*this, listener.number());
+  Session& accepted = *session;
+  sessions_.emplace(&accepted, std::move(session));
+  most_connections_ = std::max(most_connections_, sessions_.size());
+  if (context_.random.with_probability(fault_state_.reset_in))
+    accepted.connection.reset_after_reading(std::size_t(fault_state_.reset_after_bytes));
+  if (context_.random.with_probability(fault_state_.reset_out))
+    accepted.connection.reset_after_writing(std::size_t(fault_state_.reset_after_bytes));
+  accepted.connection.attach(descriptor);
 }
 
-void Endpoint::let_go(Link& link) {
-  link.line.close();
-  if (JobPtr job = std::exchange(link.job, {})) {
-    see(Event::Kind::AttemptEnded, link, job->request);
-    job->link = nullptr;
-    abandon(job);
+void Endpoint::remove(Session& session) {
+  session.connection.close();
+  if (JobPtr job = std::exchange(session.job, {})) {
+    report(Event::Kind::AttemptClosed, session, job->request);
+    job->session = nullptr;
+    cancel_job(job);
   }
-  auto found = links_.extract(&link);
-  if (!found.empty()) world_.loop.bury(std::move(found.mapped()));
+  auto found = sessions_.extract(&session);
+  if (!found.empty()) context_.loop.delete_later(std::move(found.mapped()));
 }
 
-void Endpoint::see(Event::Kind kind, const Link& link, const std::string& request, double figure) {
+void Endpoint::report(Event::Kind kind, const Session& session, const std::string& request, double value) {
   Event event{kind};
   event.request = request;
   event.endpoint = number_;
-  event.group = place_.group;
-  event.sidecar = link.sidecar;
-  event.figure = figure;
-  if (link.job) {
-    event.request_class = link.job->request_class;
-    event.key = link.job->key;
+  event.group = placement_.group;
+  event.sidecar = session.sidecar;
+  event.value = value;
+  if (session.job) {
+    event.request_class = session.job->request_class;
+    event.key = session.job->key;
   }
-  world_.see(event);
+  context_.report(event);
 }
 
-void Endpoint::take(Link& link, const Message& incoming) {
+void Endpoint::handle_request(Session& session, const HttpMessage& incoming) {
   JobPtr job = std::make_shared<Job>();
   job->request = incoming.header("X-Correlation-Id");
   job->target = incoming.target;
@@ -223,216 +230,225 @@
   std::size_t slash = incoming.target.find('/', 1);
   job->request_class = incoming.target.substr(1, slash == std::string::npos ? slash : slash - 1);
   if (job->request.empty()) {
-    Message none;
-    none.status = 404;
-    none.close = true;
-    link.last = true;
-    return link.line.send(write(none));
+    HttpMessage response;
+    response.status = 404;
+    response.close = true;
+    session.close_after_write = true;
+    return session.connection.send(serialize(response));
   }
-  Event first{Event::Kind::FirstByte};
+  Event first{Event::Kind::AttemptFirstByte};
   first.request = job->request;
   first.endpoint = number_;
-  first.group = place_.group;
-  first.sidecar = link.sidecar;
-  first.at = link.first_byte.first;
-  first.since = link.first_byte.second;
-  world_.observer.observe(first);
+  first.group = placement_.group;
+  first.sidecar = session.sidecar;
+  first.at = session.first_byte.first;
+  first.earliest = session.first_byte.second;
+  context_.observer.observe(first);
   std::size_t at = incoming.target.find("work=");
   double work = at == std::string::npos ? 0.01 : std::atof(incoming.target.c_str() + at + 5);
-  std::string_view given = incoming.header("X-Time-Left");
-  double left = std::atof(std::string(given).c_str()) * (given.ends_with('m') ? 1e-3 : 1e-6);
-  job->ends = world_.loop.now() + (given.empty() ? 1 : left);
+  std::string_view remaining_header = incoming.header("X-Time-Left");
+  double remaining =
+      std::atof(std::string(remaining_header).c_str()) * (remaining_header.ends_with('m') ? 1e-3 : 1e-6);
+  job->deadline = context_.loop.now() + (remaining_header.empty() ? 1 : remaining);
   work *= plan().work_share;
-  weigh(work);
-  bool full = links_.size() > std::size_t(plan().connections);
-  if (full || in_hand_ >= plan().cores + plan().queue) return turn_away(link, job->request, work);
-  job->piece = work / 2;
-  job->life = life_;
-  job->calls = below_ ? plan().calls : 0;
-  link.job = job;
-  job->link = &link;
-  see(Event::Kind::Begun, link, job->request, work);
-  if (std::exchange(link.fresh, false)) job->piece += plan().connection_work;
-  ++in_hand_;
-  if (condition_.hang > 0) return void(--in_hand_);
-  if (world_.chance.happens(condition_.errors)) {
-    --in_hand_;
-    return answer(job, 500);
+  check_slow_start(work);
+  bool full = sessions_.size() > std::size_t(plan().connections);
+  if (full || accepted_ >= plan().cores + plan().queue) return refuse(session, job->request, work);
+  job->half_work = work / 2;
+  job->generation = generation_;
+  job->calls_left = next_tier_ ? plan().calls_per_request : 0;
+  session.job = job;
+  job->session = &session;
+  report(Event::Kind::AttemptReceived, session, job->request, work);
+  if (std::exchange(session.first_request, false)) job->half_work += plan().connection_work;
+  ++accepted_;
+  if (fault_state_.hang > 0) return void(--accepted_);
+  if (context_.random.with_probability(fault_state_.errors)) {
+    --accepted_;
+    return respond(job, 500);
   }
   if (!job->key.empty()) {
-    double memory = 0;
-    for (const ClassPlan& request_class : world_.scenario.request_classes) {
-      if (request_class.name == job->request_class) memory = request_class.memory;
+    double window = 0;
+    for (const ClassPlan& request_class : context_.scenario.request_classes) {
+      if (request_class.name == job->request_class) window = request_class.idempotency_window;
+    }
+    // A repeat within the idempotency window gets a response without being executed again.
+    if (memory_.check_and_record(job->key, context_.loop.now(), window)) {
+      --accepted_;
+      return respond(job, 200);
     }
-    // A repeat within the group's memory is answered without running again.
-    if (memory_.seen(job->key, world_.loop.now(), memory)) return --in_hand_, answer(job, 200);
   }
   queue_.push_back(job);
-  run_next();
+  start_queued_jobs();
 }
 
-// An endpoint in slow start that is sent far more than it can do falls over and stays down.
-void Endpoint::weigh(double work) {
+// An endpoint in slow start that gets far more work than it can do stops and stays down.
+void Endpoint::check_slow_start(double work) {
   if (!slow_start_) return;
-  if (slow_start_->warm(world_.loop.now())) return slow_start_.reset();
-  if (!slow_start_->overrun(world_.loop.now(), work)) return;
-  // Only after what is being read now: its connection is still in use.
-  world_.loop.at(world_.loop.now(), [this, life = life_] {
-    if (life != life_) return;
-    Event event{Event::Kind::FellOver};
+  if (slow_start_->finished(context_.loop.now())) return slow_start_.reset();
+  if (!slow_start_->add_and_check(context_.loop.now(), work)) return;
+  // Deferred, as the caller still uses the connection.
+  context_.loop.call_at(context_.loop.now(), [this, generation = generation_] {
+    if (generation != generation_) return;
+    Event event{Event::Kind::EndpointOverloaded};
     event.endpoint = number_;
-    event.group = place_.group;
-    world_.did(event);
-    fallen_ = true;
+    event.group = placement_.group;
+    context_.report_action(event);
+    collapsed_ = true;
     crash();
   });
 }
 
-void Endpoint::turn_away(Link& link, const std::string& request, double work) {
-  see(Event::Kind::TurnedAway, link, request, work);
-  Message answer;
-  answer.status = 503;
-  answer.headers = {{"X-Unprocessed", "1"}};
-  if (plan().reports) answer.headers.emplace_back("X-Backend-Load", report());
-  link.line.send(write(answer));
+void Endpoint::refuse(Session& session, const std::string& request, double work) {
+  report(Event::Kind::AttemptRefused, session, request, work);
+  HttpMessage response;
+  response.status = 503;
+  response.headers = {{"X-Unprocessed", "1"}};
+  if (plan().sends_load_reports) response.headers.emplace_back("X-Backend-Load", load_report());
+  session.connection.send(serialize(response));
 }
 
 // ---- work
 
-double Endpoint::warmth() const {
-  double age = world_.loop.now() - started_, after = world_.scenario.warm_after;
-  double share = world_.scenario.slow_start_share;
+double Endpoint::slow_start_fraction() const {
+  double age = context_.loop.now() - started_, after = context_.scenario.slow_start_duration;
+  double share = context_.scenario.slow_start_initial_share;
   return age >= after ? 1 : share + (1 - share) * age / after;
 }
 
-double Endpoint::speed_now() {
-  double speed = speed_ * warmth() / condition_.slow;
-  return world_.loop.now() < slow_until_ ? speed / plan().crowd_factor : speed;
+double Endpoint::current_speed() {
+  double speed = speed_ * slow_start_fraction() / fault_state_.slow;
+  return context_.loop.now() < overload_until_ ? speed / plan().overload_slowdown : speed;
 }
 
-std::string Endpoint::report() const {
-  return "inflight=" + std::to_string(in_hand_) + ",queue=" + std::to_string(queue_.size()) +
-         ",util=" + std::to_string(double(working_) / plan().cores).substr(0, 4);
+std::string Endpoint::load_report() const {
+  return "inflight=" + std::to_string(accepted_) + ",queue=" + std::to_string(queue_.size()) +
+         ",util=" + std::to_string(double(busy_cores_) / plan().cores).substr(0, 4);
 }
 
-void Endpoint::run_next() {
-  while (working_ < plan().cores && !queue_.empty()) {
+void Endpoint::start_queued_jobs() {
+  while (busy_cores_ < plan().cores && !queue_.empty()) {
     JobPtr job = std::move(queue_.front());
     queue_.pop_front();
-    work_on(job);
+    start_work(job);
   }
 }
 
-void Endpoint::work_on(const JobPtr& job) {
-  ++working_;
-  job->working = true;
-  if (!std::exchange(job->effect, true)) {
+void Endpoint::start_work(const JobPtr& job) {
+  ++busy_cores_;
+  job->on_core = true;
+  if (!std::exchange(job->executed, true)) {
     ++effects_;
-    if (job->link) see(Event::Kind::Ran, *job->link, job->request);
+    if (job->session) report(Event::Kind::AttemptExecuted, *job->session, job->request);
   }
-  double takes = job->piece / speed_now();
-  world_.loop.at(world_.loop.now() + takes, [this, job] {
-    if (job->life != life_ || !job->working) return;
-    if (condition_.frozen > 0) return held_.push_back(job);
-    piece_done(job);
+  double duration = job->half_work / current_speed();
+  context_.loop.call_at(context_.loop.now() + duration, [this, job] {
+    if (job->generation != generation_ || !job->on_core) return;
+    if (fault_state_.frozen > 0) return frozen_jobs_.push_back(job);
+    finish_work(job);
   });
 }
 
-void Endpoint::piece_done(const JobPtr& job) {
-  if (!job->working) return;
-  job->working = false;
-  --working_;
-  ++job->pieces;
-  work_done_ += job->piece;
-  next_step(job);
-  run_next();
+void Endpoint::finish_work(const JobPtr& job) {
+  if (!job->on_core) return;
+  job->on_core = false;
+  --busy_cores_;
+  ++job->halves_done;
+  work_done_ += job->half_work;
+  advance(job);
+  start_queued_jobs();
 }
 
-void Endpoint::next_step(const JobPtr& job) {
-  if (!job->link) return void(--in_hand_);
-  if (job->calls > 0) return call_below(job);
-  if (job->pieces < 2) return queue_.push_back(job);
-  --in_hand_;
-  answer(job, 200);
+void Endpoint::advance(const JobPtr& job) {
+  if (!job->session) return void(--accepted_);
+  if (job->calls_left > 0) return call_next_tier(job);
+  if (job->halves_done < 2) return queue_.push_back(job);
+  --accepted_;
+  respond(job, 200);
 }
 
-void Endpoint::call_below(const JobPtr& job) {
-  Ask ask;
-  ask.request = job->call = world_.new_request_id();
-  ask.request_class = job->request_class;
-  ask.target = job->target;
-  ask.tenant = job->tenant;
-  // A repeat's calls are repeats as well, by the same keys.
-  if (!job->key.empty()) ask.key = job->key + "." + std::to_string(job->calls);
-  ask.safe = job->safe;
-  ask.time_left = std::max(0.001, job->ends - world_.loop.now());
-  below_->call(ask, [this, job](Caller::End end, const Message& answered) {
-    job->call.clear();
-    if (job->life != life_) return;
-    --job->calls;
-    if (!job->link) return void(--in_hand_);
-    if (end == Caller::End::Answered && answered.status == 200) {
-      if (job->calls > 0) return call_below(job);
+void Endpoint::call_next_tier(const JobPtr& job) {
+  OutgoingRequest outgoing;
+  outgoing.request = job->pending_call = context_.new_request_id();
+  outgoing.request_class = job->request_class;
+  outgoing.target = job->target;
+  outgoing.tenant = job->tenant;
+  // If the request is repeated, its calls have the same keys, so they are recognised as repeats too.
+  if (!job->key.empty()) outgoing.key = job->key + "." + std::to_string(job->calls_left);
+  outgoing.safe = job->safe;
+  outgoing.client_timeout = std::max(0.001, job->deadline - context_.loop.now());
+  next_tier_->send(outgoing, [this, job](SidecarClient::Result result, const HttpMessage& response) {
+    job->pending_call.clear();
+    if (job->generation != generation_) return;
+    --job->calls_left;
+    if (!job->session) return void(--accepted_);
+    if (result == SidecarClient::Result::Responded && response.status == 200) {
+      if (job->calls_left > 0) return call_next_tier(job);
       queue_.push_back(job);
-      return run_next();
+      return start_queued_jobs();
     }
-    --in_hand_;
-    answer(job, 500);
+    --accepted_;
+    respond(job, 500);
   });
 }
 
-void Endpoint::abandon(const JobPtr& job) {
-  if (job->life != life_) return;
-  if (!job->call.empty()) {
-    below_->withdraw(std::exchange(job->call, {}));
-    --in_hand_;
+void Endpoint::cancel_job(const JobPtr& job) {
+  if (job->generation != generation_) return;
+  if (!job->pending_call.empty()) {
+    next_tier_->cancel(std::exchange(job->pending_call, {}));
+    --accepted_;
     return;
   }
   auto waiting = std::find(queue_.begin(), queue_.end(), job);
   if (waiting != queue_.end()) {
     queue_.erase(waiting);
-    --in_hand_;
-  } else if (job->working && plan().cancel_stops) {
-    job->working = false;
-    --working_;
-    --in_hand_;
-    run_next();
+    --accepted_;
+  } else if (job->on_core && plan().cancel_frees_core) {
+    job->on_core = false;
+    --busy_cores_;
+    --accepted_;
+    start_queued_jobs();
   }
 }
 
-void Endpoint::answer(const JobPtr& job, int status) {
-  Link* link = std::exchange(job->link, nullptr);
-  if (!link) return;
-  Message message;
+void Endpoint::respond(const JobPtr& job, int status) {
+  Session* session = std::exchange(job->session, nullptr);
+  if (!session) return;
+  HttpMessage message;
   message.status = status;
-  if (plan().reports) message.headers.emplace_back("X-Backend-Load", report());
+  if (plan().sends_load_reports) message.headers.emplace_back("X-Backend-Load", load_report());
   message.headers.emplace_back("X-Made-By", name_);
   message.body = "made for " + job->request + "\nby " + name_ + "\n";
-  Event event{Event::Kind::AttemptAnswered};
+  Event event{Event::Kind::AttemptResponded};
   event.request = job->request;
   event.endpoint = number_;
-  event.group = place_.group;
-  event.sidecar = link->sidecar;
+  event.group = placement_.group;
+  event.sidecar = session->sidecar;
   event.status = status;
-  world_.see(event);
-  link->job.reset();
-  link->used = world_.loop.now();
-  std::string good = write(message);
-  if (!world_.chance.happens(condition_.spoil)) return link->line.send(good);
-  // After a spoilt answer the connection stays open and is of no further use; some are good with more to
-  // them.
+  context_.report(event);
+  session->job.reset();
+  session->last_used = context_.loop.now();
+  std::string valid = serialize(message);
+  if (!context_.random.with_probability(fault_state_.invalid_responses))
+    return session->connection.send(valid);
+  // Cases 0 to 3 are invalid responses, after which the connection stays open but is unusable. Case 4 adds an
+  // interim response and case 5 sends the response twice.
   message.status = 200;
-  switch (world_.chance.below(6)) {
-    case 0: link->ruined = true; return link->line.send("\x01\x02 nothing that can be read\r\n\r\n");
+  switch (context_.random.uniform_below(6)) {
+    case 0:
+      session->unusable = true;
+      return session->connection.send("\x01\x02 nothing that can be read\r\n\r\n");
     case 1:
-      link->ruined = true;
-      return link->line.send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore");
-    case 2: link->ruined = true; return link->line.send("HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\nmore");
+      session->unusable = true;
+      return session->connection.send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore");
+    case 2:
+      session->unusable = true;
+      return session->connection.send("HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\nmore");
     case 3:
-      link->ruined = true;
-      return link->line.send("HTTP/1.1 200 OK\r\nX-Endless: " + std::string(40000, 'x'));
-    case 4: return link->line.send("HTTP/1.1 103 Hints\r\n\r\n" + good);
-    default: return link->line.send(good + good);
+      session->unusable = true;
+      return session->connection.send("HTTP/1.1 200 OK\r\nX-Endless: " + std::string(40000, 'x'));
+    case 4: return session->connection.send("HTTP/1.1 103 Hints\r\n\r\n" + valid);
+    default: return session->connection.send(valid + valid);
   }
 }
 
--- a/tools/load_test/world/endpoint.h
+++ b/tools/load_test/world/endpoint.h
@@ -1,5 +1,5 @@
-// A stand-in endpoint: cores, a queue, a table of connections, slow starts, crowding, memory for tags, and
-// whatever the scenario has go wrong with it. Every effect is seen by the invariant checker.
+// A stand-in for an endpoint with cores, a queue, a limit of connections, slow start, slowdown under
+// overload, an idempotency window and injected faults. It reports every execution to the invariant checker.
 #pragma once
 
 #include <deque>
@@ -15,97 +15,99 @@
 
 namespace load_test {
 
-// What a group of endpoints remembers of keyed requests, whoever of them ran one.
-class TagMemory {
+// The idempotency keys that a group of endpoints has seen; all endpoints of the group share it.
+class IdempotencyMemory {
  public:
-  bool seen(const std::string& key, double now, double memory);  // else it is remembered from now on
+  // True if the key was seen within the idempotency window; otherwise records it.
+  bool check_and_record(const std::string& key, double now, double window);
+
  private:
-  std::unordered_map<std::string, double> first_;
-  std::deque<std::pair<double, std::string>> order_;
+  std::unordered_map<std::string, double> first_seen_;
+  std::deque<std::pair<double, std::string>> expiry_order_;
 };
 
-// What the scenario has go wrong. Counts, as troubles overlap.
-struct Condition {
+// Faults that are active at the endpoint. Faults may overlap, so some are counted.
+struct FaultState {
   double slow = 1;
   int hang = 0, frozen = 0, refusing = 0, unreachable = 0;
-  double errors = 0, spoil = 0, reset_in = 0, reset_out = 0;
-  int bytes = 0;
+  double errors = 0, invalid_responses = 0, reset_in = 0, reset_out = 0;
+  int reset_after_bytes = 0;
 };
 
 class Endpoint final : public Listener::Owner {
  public:
-  struct Place {
+  struct Placement {
     int tier = 0, group = 0;
-    std::vector<std::pair<int, Address>> listeners;  // one for each sidecar that may send here
+    std::vector<std::pair<int, Address>> listeners;  // one for each sidecar that sends to this endpoint
   };
-  Endpoint(World& world, Place place, int number, std::string name, double speed, TagMemory& memory,
-           Caller* below);
+  Endpoint(RunContext& context, Placement placement, int number, std::string name, double speed,
+           IdempotencyMemory& memory, SidecarClient* next_tier);
   ~Endpoint() override;
 
-  void start(bool fresh);
-  bool fallen() const { return fallen_; }     // pushed over: stays down
-  void crash();                               // resets everything
-  void end();                                 // stops listening and ends its connections, in order
-  void rename(int number, std::string name);  // a machine that replaces it, at its addresses
-  void change(const std::function<void(Condition&)>& how);
-  void drop_connections();  // those open go silent
+  void start(bool slow_start);
+  bool collapsed() const { return collapsed_; }  // overloaded during slow start; never starts again
+  void crash();                                  // resets all connections
+  void stop();                                   // stops listening and closes all connections
+  void rename(int number, std::string name);     // a new machine takes over the addresses
+  void update_faults(const std::function<void(FaultState&)>& update);
+  void drop_connections();  // open connections stop reading and writing
   int number() const { return number_; }
   const std::string& name() const { return name_; }
-  int group() const { return place_.group; }
+  int group() const { return placement_.group; }
   const std::string& address_for(int sidecar) const { return addresses_.at(sidecar); }
   bool up() const { return up_; }
   double work_done() const { return work_done_; }
   std::uint64_t effects() const { return effects_; }
-  std::size_t connections() const { return links_.size(); }
+  std::size_t connections() const { return sessions_.size(); }
   std::size_t most_connections() const { return most_connections_; }
 
  private:
-  class Link;
+  class Session;
   struct Job;
   using JobPtr = std::shared_ptr<Job>;
 
   void on_accepted(Listener& listener, int descriptor) override;
-  void take(Link& link, const Message& incoming);
-  void turn_away(Link& link, const std::string& request, double work);
-  void weigh(double work);
-  void run_next();
-  void work_on(const JobPtr& job);
-  void piece_done(const JobPtr& job);
-  void next_step(const JobPtr& job);
-  void call_below(const JobPtr& job);
-  void answer(const JobPtr& job, int status);
-  void abandon(const JobPtr& job);
-  void let_go(Link& link);
-  void see(Event::Kind kind, const Link& link, const std::string& request, double figure = 0);
-  void set_listeners();
-  void sweep();
-  double speed_now();
-  double warmth() const;
-  std::string report() const;
-  const TierPlan& plan() const { return world_.scenario.tiers[std::size_t(place_.tier)]; }
+  void handle_request(Session& session, const HttpMessage& incoming);
+  void refuse(Session& session, const std::string& request, double work);
+  void check_slow_start(double work);
+  void start_queued_jobs();
+  void start_work(const JobPtr& job);
+  void finish_work(const JobPtr& job);
+  void advance(const JobPtr& job);
+  void call_next_tier(const JobPtr& job);
+  void respond(const JobPtr& job, int status);
+  void cancel_job(const JobPtr& job);
+  void remove(Session& session);
+  void report(Event::Kind kind, const Session& session, const std::string& request, double value = 0);
+  void update_listeners();
+  void run_maintenance();
+  double current_speed();
+  double slow_start_fraction() const;
+  std::string load_report() const;
+  const TierPlan& plan() const { return context_.scenario.tiers[std::size_t(placement_.tier)]; }
 
-  World& world_;
-  const Place place_;
+  RunContext& context_;
+  const Placement placement_;
   int number_;
   std::string name_;
   const double speed_;
-  TagMemory& memory_;
-  Caller* below_;
+  IdempotencyMemory& memory_;
+  SidecarClient* next_tier_;
   std::map<int, std::string> addresses_;
   std::vector<std::unique_ptr<Listener>> listeners_;
-  std::unordered_map<const Link*, std::unique_ptr<Link>> links_;
+  std::unordered_map<const Session*, std::unique_ptr<Session>> sessions_;
   std::deque<JobPtr> queue_;
-  std::vector<JobPtr> held_;  // what fell due while it stood still
-  Condition condition_;
+  std::vector<JobPtr> frozen_jobs_;  // work that was due while the endpoint was frozen
+  FaultState fault_state_;
   bool up_ = false;
-  double started_ = -1e9, crowded_since_ = -1, slow_until_ = 0;
-  int working_ = 0, in_hand_ = 0;
-  std::uint64_t life_ = 0, effects_ = 0;
+  double started_ = -1e9, overloaded_since_ = -1, overload_until_ = 0;
+  int busy_cores_ = 0, accepted_ = 0;
+  std::uint64_t generation_ = 0, effects_ = 0;
   double work_done_ = 0, busy_ = 0, busy_since_ = 0;
   std::size_t most_connections_ = 0;
-  Loop::Timer sweep_{};
+  EventLoop::Timer maintenance_timer_{};
   std::optional<SlowStartBudget> slow_start_;
-  bool fallen_ = false;
+  bool collapsed_ = false;
 };
 
 }  // namespace load_test
