--- a/tools/load_test/world/fleet.cpp
+++ b/tools/load_test/world/fleet.cpp
@@ -12,8 +12,10 @@
 
 namespace {
 
-constexpr double kFrontHears = 0.3;    // until clients' front heeds that a sidecar leaves or has died
-constexpr double kOldDiscovery = 1.5;  // after a move the old one closes its connections
+// Seconds until the clients' load balancer notices that a sidecar leaves or has died.
+constexpr double kFrontDelay = 0.3;
+// Seconds after discovery has moved until the connections to its old address are closed.
+constexpr double kOldDiscoveryLifetime = 1.5;
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -23,7 +25,7 @@
 
 }  // namespace
 
-std::string settings_json(const Scenario& scenario, int tier, int me, int sidecars) {
+std::string settings_json(const Scenario& scenario, int tier, int instance_index, int sidecars) {
   nlohmann::json request_classes = nlohmann::json::array(), tenants = nlohmann::json::array(),
                  tiers = nlohmann::json::array();
   static constexpr const char* kKinds[] = {"repeatable", "by_key", "once"};
@@ -31,18 +33,18 @@
     request_classes.push_back({{"Name", request_class.name},
                                {"Idempotency", kKinds[int(request_class.idempotency)]},
                                {"Group", request_class.grouped ? "cell" : "all"},
-                               {"MemorySpanS", request_class.memory},
+                               {"MemorySpanS", request_class.idempotency_window},
                                {"TargetLatencyS", request_class.latency_objective},
                                {"ClientTimeoutS", request_class.client_timeout},
                                {"Credit", request_class.credit}});
   }
-  for (const CustomerPlan& tenant : scenario.tenants)
+  for (const TenantPlan& tenant : scenario.tenants)
     tenants.push_back({{"Name", tenant.name}, {"QuotaPerS", tenant.share * scenario.clients.rate * 1.5}});
   for (const TierPlan& plan : scenario.tiers) tiers.push_back(plan.name);
   nlohmann::json settings = {
       {"Zone", "here"},
       {"Zones", {"here"}},
-      {"Me", me},
+      {"Me", instance_index},
       {"PeersTotal", sidecars},
       {"Layer", tier},
       {"Tiers", tiers},
@@ -54,110 +56,110 @@
         {"ParallelTries", true},
         {"MayCancel", true},
         {"RetryAfter", true},
-        {"MaxRetryAfterS", scenario.longest_wait_advice},
+        {"MaxRetryAfterS", scenario.max_retry_after},
         {"ConnectTimeoutS", scenario.connect_timeout},
         {"ConnIdleS", scenario.idle_time}}},
-      {"Rules", {{"ColdShare", scenario.slow_start_share}, {"ColdS", scenario.warm_after}}}};
+      {"Rules", {{"ColdShare", scenario.slow_start_initial_share}, {"ColdS", scenario.slow_start_duration}}}};
   return settings.dump();
 }
 
 std::string site_text(const Scenario& scenario, int version, const std::string& listen,
-                      const std::string& second, const std::string& discovery, std::size_t instances) {
-  enum Shape { OnePool, PoolEach, Shared, Unusable, OtherValues, OneMore, kShapes };
-  auto shape = Shape(version % kShapes);
+                      const std::string& second_listen, const std::string& discovery, std::size_t instances) {
+  enum Shape { OnePool, PoolPerClass, TwoPools, Invalid, FewerAttempts, SecondListener, kShapeCount };
+  auto shape = Shape(version % kShapeCount);
   std::ostringstream out;
   auto ms = [](double seconds) { return std::to_string(std::lround(seconds * 1000)) + "ms"; };
   out << "site rehearsed\nlimits { descriptors " << std::max(64, scenario.descriptors) << "; memory "
       << scenario.memory_mb << "MiB; instances " << instances << " }\nlistener main { address " << listen
       << " }\n";
-  if (shape == OneMore) out << "listener second { address " << second << " }\n";
+  if (shape == SecondListener) out << "listener second { address " << second_listen << " }\n";
   static constexpr const char* kKinds[] = {"read-like", "tagged", "mutating"};
   for (const ClassPlan& request_class : scenario.request_classes) {
     out << "prefix " << request_class.name << " {\n  kind " << kKinds[int(request_class.idempotency)] << "\n";
     if (request_class.idempotency == Idempotency::Keyed)
       out << "  group " << (request_class.grouped ? "cell" : "all") << "\n  memory "
-          << ms(request_class.memory) << "\n";
+          << ms(request_class.idempotency_window) << "\n";
     out << "  target-latency " << ms(request_class.latency_objective) << "\n  client-timeout "
         << ms(request_class.client_timeout) << "\n  credit " << request_class.credit << "\n}\n";
   }
-  for (const CustomerPlan& tenant : scenario.tenants)
+  for (const TenantPlan& tenant : scenario.tenants)
     out << "customer " << tenant.name << " { quota "
         << std::max(0.001, tenant.share * scenario.clients.rate * 1.5) << "/s }\n";
   auto pool = [&](const std::string& name) {
     out << "pool " << name << " {\n  discovery " << discovery << "\n  zone here\n  max-fetches "
-        << (shape == OtherValues ? std::max(1, scenario.max_attempts - 1) : scenario.max_attempts)
+        << (shape == FewerAttempts ? std::max(1, scenario.max_attempts - 1) : scenario.max_attempts)
         << "\n  connect-timeout " << ms(scenario.connect_timeout) << "\n  idle-time "
-        << ms(scenario.idle_time) << "\n  retry-after " << ms(scenario.longest_wait_advice)
-        << "\n  cold-share " << scenario.slow_start_share * 100 << "%\n  warm-after "
-        << ms(scenario.warm_after) << "\n}\n";
+        << ms(scenario.idle_time) << "\n  retry-after " << ms(scenario.max_retry_after) << "\n  cold-share "
+        << scenario.slow_start_initial_share * 100 << "%\n  warm-after " << ms(scenario.slow_start_duration)
+        << "\n}\n";
   };
-  bool each = shape == PoolEach || shape == OneMore;
-  if (each) {
+  bool pool_per_class = shape == PoolPerClass || shape == SecondListener;
+  if (pool_per_class) {
     for (const ClassPlan& request_class : scenario.request_classes) pool("for-" + request_class.name);
   } else {
     pool("all");
-    if (shape == Shared) pool("half");
+    if (shape == TwoPools) pool("half");
   }
   for (const ClassPlan& request_class : scenario.request_classes) {
     out << "route " << request_class.name << " {\n  path /" << request_class.name << "\n  to ";
-    if (each) out << "for-" << request_class.name;
-    else if (shape == Shared) out << "all 50%, half 50%";
+    if (pool_per_class) out << "for-" << request_class.name;
+    else if (shape == TwoPools) out << "all 50%, half 50%";
     else out << "all";
     out << "\n}\n";
   }
-  if (shape == Unusable) out << "route broken { path /broken; to nowhere }\nlimits {\n";
+  if (shape == Invalid) out << "route broken { path /broken; to nowhere }\nlimits {\n";
   return out.str();
 }
 
-const Fleet::Row Fleet::kRows[] = {{Trouble::Slow, &Fleet::on_condition},
-                                   {Trouble::Hang, &Fleet::on_condition},
-                                   {Trouble::Errors, &Fleet::on_condition},
-                                   {Trouble::Freeze, &Fleet::on_condition},
-                                   {Trouble::ResetIn, &Fleet::on_condition},
-                                   {Trouble::ResetOut, &Fleet::on_condition},
-                                   {Trouble::Refuse, &Fleet::on_condition},
-                                   {Trouble::Unreachable, &Fleet::on_condition},
-                                   {Trouble::Spoil, &Fleet::on_condition},
-                                   {Trouble::SharedSlow, &Fleet::on_condition},
-                                   {Trouble::Crash, &Fleet::crash},
-                                   {Trouble::RestartTogether, &Fleet::crash},
-                                   {Trouble::Drop, &Fleet::drop},
-                                   {Trouble::Burst, &Fleet::nothing},
-                                   {Trouble::Drain, &Fleet::drain},
-                                   {Trouble::Release, &Fleet::release},
-                                   {Trouble::ListSilent, &Fleet::list},
-                                   {Trouble::ListLate, &Fleet::list},
-                                   {Trouble::ListOld, &Fleet::list},
-                                   {Trouble::SidecarTerm, &Fleet::term},
-                                   {Trouble::SidecarKill, &Fleet::kill},
-                                   {Trouble::SidecarStop, &Fleet::stop},
-                                   {Trouble::SidecarHup, &Fleet::hup},
-                                   {Trouble::SiteReload, &Fleet::reload_site},
-                                   {Trouble::SidecarUpgrade, &Fleet::upgrade},
-                                   {Trouble::SidecarEmpty, &Fleet::empty},
-                                   {Trouble::Exclude, &Fleet::exclude}};
+const Fleet::FaultHandler Fleet::kFaultHandlers[] = {{FaultKind::Slow, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Hang, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Errors, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Freeze, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::ResetIn, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::ResetOut, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Refuse, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Unreachable, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Spoil, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::SharedSlow, &Fleet::set_endpoint_fault},
+                                                     {FaultKind::Crash, &Fleet::crash_endpoints},
+                                                     {FaultKind::RestartTogether, &Fleet::crash_endpoints},
+                                                     {FaultKind::Drop, &Fleet::drop_endpoint_connections},
+                                                     {FaultKind::Burst, &Fleet::no_action},
+                                                     {FaultKind::Drain, &Fleet::drain_endpoints},
+                                                     {FaultKind::Release, &Fleet::replace_endpoints},
+                                                     {FaultKind::ListSilent, &Fleet::set_discovery_fault},
+                                                     {FaultKind::ListLate, &Fleet::set_discovery_fault},
+                                                     {FaultKind::ListOld, &Fleet::set_discovery_fault},
+                                                     {FaultKind::SidecarTerm, &Fleet::terminate_sidecars},
+                                                     {FaultKind::SidecarKill, &Fleet::kill_sidecars},
+                                                     {FaultKind::SidecarStop, &Fleet::pause_sidecars},
+                                                     {FaultKind::SidecarHup, &Fleet::move_discovery},
+                                                     {FaultKind::SiteReload, &Fleet::reload_sites},
+                                                     {FaultKind::SidecarUpgrade, &Fleet::upgrade_sidecars},
+                                                     {FaultKind::SidecarEmpty, &Fleet::evacuate_sidecars},
+                                                     {FaultKind::Exclude, &Fleet::exclude_endpoints}};
 
 Address Fleet::new_address() { return {host_, next_port_++}; }
 
-Fleet::Fleet(World& world, std::string command, std::string folder, std::uint64_t seed)
-    : world_(world), command_(std::move(command)), folder_(std::move(folder)), seed_(seed) {
-  // Runs side by side on one machine don't meet: each has a loopback address of its own.
-  int mine = getpid();
-  host_ = "127." + std::to_string(16 + mine / 40000 % 200) + "." + std::to_string(mine / 200 % 200) + "." +
-          std::to_string(1 + mine % 200);
-  const Scenario& scenario = world_.scenario;
-  Chance chance(seed, 3);
+Fleet::Fleet(RunContext& context, std::string command, std::string folder, std::uint64_t seed)
+    : context_(context), command_(std::move(command)), folder_(std::move(folder)), seed_(seed) {
+  // Each run has its own loopback address, so that parallel runs do not interfere.
+  int pid = getpid();
+  host_ = "127." + std::to_string(16 + pid / 40000 % 200) + "." + std::to_string(pid / 200 % 200) + "." +
+          std::to_string(1 + pid % 200);
+  const Scenario& scenario = context_.scenario;
+  RandomSource random(seed, 3);
   tiers_.resize(scenario.tiers.size());
-  auto add_sidecar = [&](int tier, int me) {
+  auto add_sidecar = [&](int tier, int instance_index) {
     int number = int(processes_.size());
-    processes_.push_back(std::make_unique<Process>(world_, *this, number, tier, command_, folder_));
-    listens_.push_back(new_address());
-    second_listens_.push_back(new_address());
-    versions_.push_back(0);
-    agents_.push_back(std::make_unique<Agent>(world_, number, new_address()));
-    me_.push_back(me);
-    of_tier_.push_back(tier);
-    back_after_leaving_.push_back(true);
+    processes_.push_back(std::make_unique<SidecarProcess>(context_, *this, number, tier, command_, folder_));
+    listen_addresses_.push_back(new_address());
+    second_listen_addresses_.push_back(new_address());
+    site_versions_.push_back(0);
+    discovery_agents_.push_back(std::make_unique<DiscoveryAgent>(context_, number, new_address()));
+    instance_indexes_.push_back(instance_index);
+    sidecar_tiers_.push_back(tier);
+    restart_after_exit_.push_back(true);
     tiers_[std::size_t(tier)].sidecars.push_back(number);
     return number;
   };
@@ -165,24 +167,26 @@
   for (std::size_t k = 0; k < scenario.tiers.size(); ++k) {
     const TierPlan& plan = scenario.tiers[k];
     Tier& tier = tiers_[k];
-    bool calls = plan.calls > 0 && k + 1 < scenario.tiers.size();
-    for (int g = 0; g < plan.groups; ++g) tier.memories.push_back(std::make_unique<TagMemory>());
+    bool calls = plan.calls_per_request > 0 && k + 1 < scenario.tiers.size();
+    for (int g = 0; g < plan.groups; ++g)
+      tier.idempotency_memories.push_back(std::make_unique<IdempotencyMemory>());
     for (int i = 0; i < plan.endpoints; ++i) {
-      Endpoint::Place place;
-      place.tier = int(k);
-      place.group = int(k) * 1000 + 1 + i % plan.groups;
-      for (int sidecar : tier.sidecars) place.listeners.emplace_back(sidecar, new_address());
+      Endpoint::Placement placement;
+      placement.tier = int(k);
+      placement.group = int(k) * 1000 + 1 + i % plan.groups;
+      for (int sidecar : tier.sidecars) placement.listeners.emplace_back(sidecar, new_address());
       auto key = std::make_pair(int(k), std::size_t(i));
-      Caller* caller = nullptr;
+      SidecarClient* client = nullptr;
       if (calls) {
-        Below& below = below_[key];
-        below.sidecar = add_sidecar(int(k) + 1, i);
-        below.caller = std::make_unique<Caller>(world_, listens_[std::size_t(below.sidecar)], below.sidecar);
-        caller = below.caller.get();
+        NextTierSidecar& next_tier = next_tier_sidecars_[key];
+        next_tier.sidecar = add_sidecar(int(k) + 1, i);
+        next_tier.client = std::make_unique<SidecarClient>(
+            context_, listen_addresses_[std::size_t(next_tier.sidecar)], next_tier.sidecar);
+        client = next_tier.client.get();
       }
       tier.endpoints.push_back(std::make_unique<Endpoint>(
-          world_, place, next_endpoint_++, plan.name + "-" + std::to_string(i), chance.in(plan.speed),
-          *tier.memories[std::size_t(i % plan.groups)], caller));
+          context_, placement, next_endpoint_++, plan.name + "-" + std::to_string(i),
+          random.uniform_in(plan.speed), *tier.idempotency_memories[std::size_t(i % plan.groups)], client));
       states_[key] = Event::State::Ready;
     }
   }
@@ -191,272 +195,275 @@
 Fleet::~Fleet() = default;
 
 std::vector<Address> Fleet::front_addresses() const {
-  return {listens_.begin(), listens_.begin() + world_.scenario.sidecars};
+  return {listen_addresses_.begin(), listen_addresses_.begin() + context_.scenario.sidecars};
 }
 
 void Fleet::start() {
   for (Tier& tier : tiers_) {
     for (auto& endpoint : tier.endpoints) endpoint->start(false);
   }
-  for (std::size_t s = 0; s < agents_.size(); ++s) {
-    std::vector<Listed> all;
-    Tier& tier = tiers_[std::size_t(of_tier_[s])];
+  for (std::size_t s = 0; s < discovery_agents_.size(); ++s) {
+    std::vector<ListedEndpoint> all;
+    Tier& tier = tiers_[std::size_t(sidecar_tiers_[s])];
     for (std::size_t i = 0; i < tier.endpoints.size(); ++i)
-      all.push_back(entry(of_tier_[s], i, int(s), Event::State::Ready));
-    agents_[s]->know(std::move(all));
+      all.push_back(list_entry(sidecar_tiers_[s], i, int(s), Event::State::Ready));
+    discovery_agents_[s]->set_initial_list(std::move(all));
   }
   for (auto& process : processes_) start(*process);
 }
 
-void Fleet::start(Process& process) {
-  if (process.phase() != Process::Phase::Down) return;
+void Fleet::start(SidecarProcess& process) {
+  if (process.phase() != SidecarProcess::Phase::Down) return;
   process.start(config_for(process.sidecar()));
-  if (!world_.scenario.sites) agents_[std::size_t(process.sidecar())]->notified_at_start();
+  if (!context_.scenario.sites) discovery_agents_[std::size_t(process.sidecar())]->report_initial_list();
 }
 
 SidecarConfig Fleet::config_for(int sidecar) {
   auto at = std::size_t(sidecar);
-  SidecarConfig assignment;
-  assignment.name = "s" + std::to_string(sidecar);
-  assignment.listen = listens_[at].text();
-  assignment.discovery = agents_[at]->address().text();
-  if (world_.scenario.sites) {
-    assignment.site = site_text(world_.scenario, versions_[at], assignment.listen, second_listens_[at].text(),
-                                assignment.discovery, tiers_[std::size_t(of_tier_[at])].sidecars.size());
-    assignment.descriptors = world_.scenario.descriptors;
-    return assignment;
+  SidecarConfig config;
+  config.name = "s" + std::to_string(sidecar);
+  config.listen = listen_addresses_[at].text();
+  config.discovery = discovery_agents_[at]->address().text();
+  if (context_.scenario.sites) {
+    config.site =
+        site_text(context_.scenario, site_versions_[at], config.listen, second_listen_addresses_[at].text(),
+                  config.discovery, tiers_[std::size_t(sidecar_tiers_[at])].sidecars.size());
+    config.descriptors = context_.scenario.descriptors;
+    return config;
   }
-  assignment.known = agents_[at]->known_json();
-  assignment.settings = settings_json(world_.scenario, of_tier_[at], me_[at],
-                                      int(tiers_[std::size_t(of_tier_[at])].sidecars.size()));
-  assignment.seed = seed_ * 1000003 + std::uint64_t(sidecar) * 101 + std::uint64_t(processes_[at]->starts());
-  assignment.descriptors = world_.scenario.descriptors;
-  assignment.memory_mb = world_.scenario.memory_mb;
-  if (world_.scenario.operated()) assignment.admin = new_address().text();
-  return assignment;
+  config.known = discovery_agents_[at]->list_json();
+  config.settings = settings_json(context_.scenario, sidecar_tiers_[at], instance_indexes_[at],
+                                  int(tiers_[std::size_t(sidecar_tiers_[at])].sidecars.size()));
+  config.seed = seed_ * 1000003 + std::uint64_t(sidecar) * 101 + std::uint64_t(processes_[at]->starts());
+  config.descriptors = context_.scenario.descriptors;
+  config.memory_mb = context_.scenario.memory_mb;
+  if (context_.scenario.uses_admin_api()) config.admin = new_address().text();
+  return config;
 }
 
 bool Fleet::ready() const {
   return std::all_of(processes_.begin(), processes_.end(),
-                     [](const auto& process) { return process->phase() == Process::Phase::Ready; });
+                     [](const auto& process) { return process->phase() == SidecarProcess::Phase::Ready; });
 }
 
-void Fleet::look() {
-  for (auto& process : processes_) process->look();
+void Fleet::poll() {
+  for (auto& process : processes_) process->poll();
 }
 
-// ---- sidecars come and go
+// ---- start and exit of sidecars
 
-void Fleet::on_ready(Process& process) {
-  if (clients_ && process.tier() == 0) clients_->avoid(process.sidecar(), false);
+void Fleet::on_ready(SidecarProcess& process) {
+  if (clients_ && process.tier() == 0) clients_->set_avoided(process.sidecar(), false);
 }
 
-void Fleet::on_left(Process& process) {
+void Fleet::on_exited(SidecarProcess& process) {
   auto at = std::size_t(process.sidecar());
-  if (process.tier() > 0 || !back_after_leaving_[at]) return;
+  if (process.tier() > 0 || !restart_after_exit_[at]) return;
   if (clients_)
-    world_.loop.at(world_.loop.now() + kFrontHears, [this, at] {
-      if (processes_[at]->phase() == Process::Phase::Down) clients_->avoid(int(at), true);
+    context_.loop.call_at(context_.loop.now() + kFrontDelay, [this, at] {
+      if (processes_[at]->phase() == SidecarProcess::Phase::Down) clients_->set_avoided(int(at), true);
     });
-  world_.loop.at(world_.loop.now() + 0.05, [this, at] {
-    if (processes_[at]->phase() == Process::Phase::Down) start(*processes_[at]);
+  context_.loop.call_at(context_.loop.now() + 0.05, [this, at] {
+    if (processes_[at]->phase() == SidecarProcess::Phase::Down) start(*processes_[at]);
   });
 }
 
-// ---- endpoints come and go
+// ---- start and stop of endpoints
 
-Listed Fleet::entry(int tier, std::size_t which, int sidecar, Event::State state) const {
-  const Endpoint& endpoint = *tiers_[std::size_t(tier)].endpoints[which];
-  auto since = since_ms_.find({tier, which});
+ListedEndpoint Fleet::list_entry(int tier, std::size_t index, int sidecar, Event::State state) const {
+  const Endpoint& endpoint = *tiers_[std::size_t(tier)].endpoints[index];
+  auto since = since_ms_.find({tier, index});
   return {endpoint.number(), endpoint.name(), endpoint.address_for(sidecar),
           endpoint.group(),  state,           since == since_ms_.end() ? 0 : since->second};
 }
 
-void Fleet::listed(int tier, std::size_t which, Event::State state) {
-  states_[{tier, which}] = state;
+void Fleet::announce(int tier, std::size_t index, Event::State state) {
+  states_[{tier, index}] = state;
   for (int sidecar : tiers_[std::size_t(tier)].sidecars)
-    agents_[std::size_t(sidecar)]->change(entry(tier, which, sidecar, state));
+    discovery_agents_[std::size_t(sidecar)]->change(list_entry(tier, index, sidecar, state));
 }
 
-void Fleet::take_down(int tier, std::size_t which) {
-  Endpoint& endpoint = *tiers_[std::size_t(tier)].endpoints[which];
-  auto below = below_.find({tier, which});
-  if (below != below_.end()) {
-    processes_[std::size_t(below->second.sidecar)]->kill();
-    below->second.caller->vanish();
+void Fleet::stop_endpoint(int tier, std::size_t index) {
+  Endpoint& endpoint = *tiers_[std::size_t(tier)].endpoints[index];
+  auto next_tier = next_tier_sidecars_.find({tier, index});
+  if (next_tier != next_tier_sidecars_.end()) {
+    processes_[std::size_t(next_tier->second.sidecar)]->kill();
+    next_tier->second.client->reset_connections();
   }
   endpoint.crash();
 }
 
-void Fleet::bring_back(int tier, std::size_t which, bool replaced) {
-  Endpoint& endpoint = *tiers_[std::size_t(tier)].endpoints[which];
+void Fleet::restart_endpoint(int tier, std::size_t index, bool new_identity) {
+  Endpoint& endpoint = *tiers_[std::size_t(tier)].endpoints[index];
   if (endpoint.up()) return;
-  if (replaced) {
+  if (new_identity) {
     int number = next_endpoint_++;
-    endpoint.rename(number, world_.scenario.tiers[std::size_t(tier)].name + "-" + std::to_string(number));
+    endpoint.rename(number, context_.scenario.tiers[std::size_t(tier)].name + "-" + std::to_string(number));
   }
-  auto below = below_.find({tier, which});
-  since_ms_[{tier, which}] = unix_ms();
+  auto next_tier = next_tier_sidecars_.find({tier, index});
+  since_ms_[{tier, index}] = unix_ms();
   endpoint.start(true);
-  if (below == below_.end()) return listed(tier, which, Event::State::Ready);
-  Process& process = *processes_[std::size_t(below->second.sidecar)];
+  if (next_tier == next_tier_sidecars_.end()) return announce(tier, index, Event::State::Ready);
+  SidecarProcess& process = *processes_[std::size_t(next_tier->second.sidecar)];
   start(process);
-  // It is listed once its own sidecar is ready: before that it could only fail.
-  auto wait = std::make_shared<std::function<void()>>();
-  *wait = [this, tier, which, &process, wait] {
-    if (process.phase() == Process::Phase::Ready) {
-      listed(tier, which, Event::State::Ready);
-      world_.loop.at(world_.loop.now(), [wait] { *wait = nullptr; });
+  // Listed only after its own sidecar is ready, as its requests would fail before.
+  auto announce_when_ready = std::make_shared<std::function<void()>>();
+  *announce_when_ready = [this, tier, index, &process, announce_when_ready] {
+    if (process.phase() == SidecarProcess::Phase::Ready) {
+      announce(tier, index, Event::State::Ready);
+      context_.loop.call_at(context_.loop.now(), [announce_when_ready] { *announce_when_ready = nullptr; });
     } else {
-      world_.loop.at(world_.loop.now() + 0.02, [wait] { (*wait)(); });
+      context_.loop.call_at(context_.loop.now() + 0.02, [announce_when_ready] { (*announce_when_ready)(); });
     }
   };
-  (*wait)();
+  (*announce_when_ready)();
 }
 
-// ---- troubles
+// ---- faults
 
-void Fleet::begin(Clients& clients) {
+void Fleet::start_faults(Clients& clients) {
   clients_ = &clients;
-  double now = world_.loop.now();
-  for (const Fault& fault : world_.scenario.faults) {
-    for (int i = 0; i < fault.times; ++i) schedule(fault, now + fault.at + i * fault.every);
+  double now = context_.loop.now();
+  for (const Fault& fault : context_.scenario.faults) {
+    for (int i = 0; i < fault.repetitions; ++i) schedule(fault, now + fault.at + i * fault.interval);
   }
 }
 
 void Fleet::schedule(const Fault& fault, double at) {
-  for (const Row& row : kRows) {
-    if (row.kind != fault.kind) continue;
-    world_.loop.at(at, [this, fault, act = row.act] { (this->*act)(fault, true); });
-    world_.loop.at(at + fault.span, [this, fault, act = row.act] { (this->*act)(fault, false); });
+  for (const FaultHandler& entry : kFaultHandlers) {
+    if (entry.kind != fault.kind) continue;
+    context_.loop.call_at(at, [this, fault, handler = entry.handler] { (this->*handler)(fault, true); });
+    context_.loop.call_at(at + fault.duration,
+                          [this, fault, handler = entry.handler] { (this->*handler)(fault, false); });
   }
 }
 
-int Fleet::tier_of(const Fault& fault) const {
-  std::string name = fault.on.substr(0, fault.on.find('/'));
-  for (std::size_t k = 0; k < world_.scenario.tiers.size(); ++k) {
-    if (world_.scenario.tiers[k].name == name) return int(k);
+int Fleet::target_tier(const Fault& fault) const {
+  std::string name = fault.target.substr(0, fault.target.find('/'));
+  for (std::size_t k = 0; k < context_.scenario.tiers.size(); ++k) {
+    if (context_.scenario.tiers[k].name == name) return int(k);
   }
   return 0;
 }
 
-std::vector<std::size_t> Fleet::chosen(const Fault& fault) const {
-  std::size_t slash = fault.on.find('/');
-  std::string which = slash == std::string::npos ? "*" : fault.on.substr(slash + 1);
-  if (which != "*") return {std::size_t(std::stoul(which))};
-  std::vector<std::size_t> all(tiers_[std::size_t(tier_of(fault))].endpoints.size());
+std::vector<std::size_t> Fleet::target_endpoints(const Fault& fault) const {
+  std::size_t slash = fault.target.find('/');
+  std::string index = slash == std::string::npos ? "*" : fault.target.substr(slash + 1);
+  if (index != "*") return {std::size_t(std::stoul(index))};
+  std::vector<std::size_t> all(tiers_[std::size_t(target_tier(fault))].endpoints.size());
   for (std::size_t i = 0; i < all.size(); ++i) all[i] = i;
   return all;
 }
 
-std::vector<int> Fleet::chosen_sidecars(const Fault& fault) const {
-  if (fault.on != "*") return {std::stoi(fault.on)};
+std::vector<int> Fleet::target_sidecars(const Fault& fault) const {
+  if (fault.target != "*") return {std::stoi(fault.target)};
   return tiers_[0].sidecars;
 }
 
-void Fleet::on_condition(const Fault& fault, bool begins) {
-  int count = begins ? 1 : -1;
-  double share = begins ? fault.share : 0;
-  for (std::size_t which : chosen(fault)) {
-    tiers_[std::size_t(tier_of(fault))].endpoints[which]->change([&](Condition& now) {
+void Fleet::set_endpoint_fault(const Fault& fault, bool starts) {
+  int count = starts ? 1 : -1;
+  double share = starts ? fault.share : 0;
+  for (std::size_t index : target_endpoints(fault)) {
+    tiers_[std::size_t(target_tier(fault))].endpoints[index]->update_faults([&](FaultState& now) {
       switch (fault.kind) {
-        case Trouble::Slow:
-        case Trouble::SharedSlow: now.slow *= begins ? fault.factor : 1 / fault.factor; return;
-        case Trouble::Hang: now.hang += count; return;
-        case Trouble::Errors: now.errors = share; return;
-        case Trouble::Freeze: now.frozen += count; return;
-        case Trouble::ResetIn:
+        case FaultKind::Slow:
+        case FaultKind::SharedSlow: now.slow *= starts ? fault.factor : 1 / fault.factor; return;
+        case FaultKind::Hang: now.hang += count; return;
+        case FaultKind::Errors: now.errors = share; return;
+        case FaultKind::Freeze: now.frozen += count; return;
+        case FaultKind::ResetIn:
           now.reset_in = share;
-          now.bytes = fault.bytes;
+          now.reset_after_bytes = fault.reset_after_bytes;
           return;
-        case Trouble::ResetOut:
+        case FaultKind::ResetOut:
           now.reset_out = share;
-          now.bytes = fault.bytes;
+          now.reset_after_bytes = fault.reset_after_bytes;
           return;
-        case Trouble::Refuse: now.refusing += count; return;
-        case Trouble::Unreachable: now.unreachable += count; return;
-        case Trouble::Spoil: now.spoil = share; return;
+        case FaultKind::Refuse: now.refusing += count; return;
+        case FaultKind::Unreachable: now.unreachable += count; return;
+        case FaultKind::Spoil: now.invalid_responses = share; return;
         default: return;
       }
     });
   }
 }
 
-void Fleet::crash(const Fault& fault, bool begins) {
-  int tier = tier_of(fault);
-  for (std::size_t which : chosen(fault)) {
-    if (!begins) {
-      bring_back(tier, which, false);
-    } else if (tiers_[std::size_t(tier)].endpoints[which]->up()) {
-      take_down(tier, which);
-      listed(tier, which, Event::State::Gone);
+void Fleet::crash_endpoints(const Fault& fault, bool starts) {
+  int tier = target_tier(fault);
+  for (std::size_t index : target_endpoints(fault)) {
+    if (!starts) {
+      restart_endpoint(tier, index, false);
+    } else if (tiers_[std::size_t(tier)].endpoints[index]->up()) {
+      stop_endpoint(tier, index);
+      announce(tier, index, Event::State::Gone);
     }
   }
 }
 
-void Fleet::drop(const Fault& fault, bool begins) {
-  if (!begins) return;
-  for (std::size_t which : chosen(fault))
-    tiers_[std::size_t(tier_of(fault))].endpoints[which]->drop_connections();
+void Fleet::drop_endpoint_connections(const Fault& fault, bool starts) {
+  if (!starts) return;
+  for (std::size_t index : target_endpoints(fault))
+    tiers_[std::size_t(target_tier(fault))].endpoints[index]->drop_connections();
 }
 
-void Fleet::drain(const Fault& fault, bool begins) {
-  int tier = tier_of(fault);
-  for (std::size_t which : chosen(fault)) {
-    if (begins) listed(tier, which, Event::State::Draining);
+void Fleet::drain_endpoints(const Fault& fault, bool starts) {
+  int tier = target_tier(fault);
+  for (std::size_t index : target_endpoints(fault)) {
+    if (starts) announce(tier, index, Event::State::Draining);
     else {
-      listed(tier, which, Event::State::Gone);
-      take_down(tier, which);
+      announce(tier, index, Event::State::Gone);
+      stop_endpoint(tier, index);
     }
   }
 }
 
-void Fleet::release(const Fault& fault, bool begins) {
-  if (!begins) return;
-  int tier = tier_of(fault);
-  std::vector<std::size_t> all = chosen(fault);
-  double each = fault.span / double(all.size()), now = world_.loop.now();
+void Fleet::replace_endpoints(const Fault& fault, bool starts) {
+  if (!starts) return;
+  int tier = target_tier(fault);
+  std::vector<std::size_t> all = target_endpoints(fault);
+  double each = fault.duration / double(all.size()), now = context_.loop.now();
   for (std::size_t i = 0; i < all.size(); ++i) {
-    std::size_t which = all[i];
-    world_.loop.at(now + double(i) * each,
-                   [this, tier, which] { listed(tier, which, Event::State::Draining); });
-    // Long enough after for all to have heard of it and ended what they had there.
-    double down = now + double(i) * each + world_.scenario.list_delay.high + world_.scenario.grace + 0.3;
-    world_.loop.at(down, [this, tier, which] {
-      listed(tier, which, Event::State::Gone);
-      take_down(tier, which);
+    std::size_t index = all[i];
+    context_.loop.call_at(now + double(i) * each,
+                          [this, tier, index] { announce(tier, index, Event::State::Draining); });
+    // Leaves time until all sidecars know and have finished their requests to the endpoint.
+    double down = now + double(i) * each + context_.scenario.list_delay.high + context_.scenario.grace + 0.3;
+    context_.loop.call_at(down, [this, tier, index] {
+      announce(tier, index, Event::State::Gone);
+      stop_endpoint(tier, index);
     });
-    world_.loop.at(down + 0.1, [this, tier, which] { bring_back(tier, which, true); });
+    context_.loop.call_at(down + 0.1, [this, tier, index] { restart_endpoint(tier, index, true); });
   }
 }
 
-void Fleet::list(const Fault& fault, bool begins) {
-  for (int sidecar : chosen_sidecars(fault)) {
-    Agent& agent = *agents_[std::size_t(sidecar)];
-    if (fault.kind == Trouble::ListSilent) agent.silent(begins);
-    else if (fault.kind == Trouble::ListLate) agent.late(begins ? fault.span : -fault.span);
-    else agent.old(begins);
+void Fleet::set_discovery_fault(const Fault& fault, bool starts) {
+  for (int sidecar : target_sidecars(fault)) {
+    DiscoveryAgent& agent = *discovery_agents_[std::size_t(sidecar)];
+    if (fault.kind == FaultKind::ListSilent) agent.set_silent(starts);
+    else if (fault.kind == FaultKind::ListLate) agent.add_delay(starts ? fault.duration : -fault.duration);
+    else agent.set_stale(starts);
   }
 }
 
-void Fleet::term(const Fault& fault, bool begins) {
-  if (!begins) return;
-  for (int sidecar : chosen_sidecars(fault)) {
+void Fleet::terminate_sidecars(const Fault& fault, bool starts) {
+  if (!starts) return;
+  for (int sidecar : target_sidecars(fault)) {
     processes_[std::size_t(sidecar)]->terminate();
-    world_.loop.at(world_.loop.now() + kFrontHears, [this, sidecar] {
-      if (processes_[std::size_t(sidecar)]->phase() != Process::Phase::Ready) clients_->avoid(sidecar, true);
+    context_.loop.call_at(context_.loop.now() + kFrontDelay, [this, sidecar] {
+      if (processes_[std::size_t(sidecar)]->phase() != SidecarProcess::Phase::Ready)
+        clients_->set_avoided(sidecar, true);
     });
   }
 }
 
-void Fleet::kill(const Fault& fault, bool begins) {
-  for (int sidecar : chosen_sidecars(fault)) {
+void Fleet::kill_sidecars(const Fault& fault, bool starts) {
+  for (int sidecar : target_sidecars(fault)) {
     auto at = std::size_t(sidecar);
-    back_after_leaving_[at] = !begins;
-    if (begins) {
+    restart_after_exit_[at] = !starts;
+    if (starts) {
       processes_[at]->kill();
-      world_.loop.at(world_.loop.now() + kFrontHears, [this, at] {
-        if (processes_[at]->phase() == Process::Phase::Down) clients_->avoid(int(at), true);
+      context_.loop.call_at(context_.loop.now() + kFrontDelay, [this, at] {
+        if (processes_[at]->phase() == SidecarProcess::Phase::Down) clients_->set_avoided(int(at), true);
       });
     } else {
       start(*processes_[at]);
@@ -464,69 +471,71 @@
   }
 }
 
-void Fleet::stop(const Fault& fault, bool begins) {
-  if (!begins) return;
-  for (int sidecar : chosen_sidecars(fault)) processes_[std::size_t(sidecar)]->pause(fault.span);
+void Fleet::pause_sidecars(const Fault& fault, bool starts) {
+  if (!starts) return;
+  for (int sidecar : target_sidecars(fault)) processes_[std::size_t(sidecar)]->pause(fault.duration);
 }
 
-void Fleet::hup(const Fault& fault, bool begins) {
-  if (!begins) return;
-  for (int sidecar : chosen_sidecars(fault)) {
+void Fleet::move_discovery(const Fault& fault, bool starts) {
+  if (!starts) return;
+  for (int sidecar : target_sidecars(fault)) {
     auto at = std::size_t(sidecar);
-    if (processes_[at]->phase() != Process::Phase::Ready) continue;
-    agents_[at]->move(new_address(), kOldDiscovery);
-    SidecarConfig assignment = config_for(sidecar);
-    processes_[at]->write_file(assignment);
-    processes_[at]->hang_up();
+    if (processes_[at]->phase() != SidecarProcess::Phase::Ready) continue;
+    discovery_agents_[at]->move_to(new_address(), kOldDiscoveryLifetime);
+    SidecarConfig config = config_for(sidecar);
+    processes_[at]->write_config(config);
+    processes_[at]->send_sighup();
   }
 }
 
-void Fleet::upgrade(const Fault& fault, bool begins) {
-  if (!begins) return;
-  for (int sidecar : chosen_sidecars(fault)) processes_[std::size_t(sidecar)]->succeed(config_for(sidecar));
+void Fleet::upgrade_sidecars(const Fault& fault, bool starts) {
+  if (!starts) return;
+  for (int sidecar : target_sidecars(fault))
+    processes_[std::size_t(sidecar)]->start_successor(config_for(sidecar));
 }
 
-void Fleet::empty(const Fault& fault, bool begins) {
-  for (int sidecar : chosen_sidecars(fault)) {
-    processes_[std::size_t(sidecar)]->call(
-        begins ? "evacuate" : "rejoin", "", [this, sidecar, begins](int status) {
+void Fleet::evacuate_sidecars(const Fault& fault, bool starts) {
+  for (int sidecar : target_sidecars(fault)) {
+    processes_[std::size_t(sidecar)]->call_admin_api(
+        starts ? "evacuate" : "rejoin", "", [this, sidecar, starts](int status) {
           if (status != 200) return;
-          world_.loop.at(world_.loop.now() + kFrontHears,
-                         [this, sidecar, begins] { clients_->avoid(sidecar, begins); });
+          context_.loop.call_at(context_.loop.now() + kFrontDelay,
+                                [this, sidecar, starts] { clients_->set_avoided(sidecar, starts); });
         });
   }
 }
 
-// What operators say binds as discovery's word does, from the yes on.
-void Fleet::exclude(const Fault& fault, bool begins) {
-  int tier = tier_of(fault);
-  for (std::size_t which : chosen(fault)) {
+// An operator's override counts like a notification of discovery, from the moment when the sidecar accepts
+// it.
+void Fleet::exclude_endpoints(const Fault& fault, bool starts) {
+  int tier = target_tier(fault);
+  for (std::size_t index : target_endpoints(fault)) {
     for (int sidecar : tiers_[std::size_t(tier)].sidecars) {
-      auto notify = [this, tier, which, sidecar](Event::State state) {
+      auto report_notified = [this, tier, index, sidecar](Event::State state) {
         Event event{Event::Kind::Notified};
         event.sidecar = sidecar;
         event.state = state;
-        event.endpoint = tiers_[std::size_t(tier)].endpoints[which]->number();
-        world_.did(event);
+        event.endpoint = tiers_[std::size_t(tier)].endpoints[index]->number();
+        context_.report_action(event);
       };
-      if (!begins) notify(Event::State::Ready);
-      processes_[std::size_t(sidecar)]->call(begins ? "exclude" : "include",
-                                             entry(tier, which, sidecar, Event::State::Ready).name,
-                                             [notify, begins](int status) {
-                                               if (begins && status == 200) notify(Event::State::Draining);
-                                             });
+      if (!starts) report_notified(Event::State::Ready);
+      processes_[std::size_t(sidecar)]->call_admin_api(
+          starts ? "exclude" : "include", list_entry(tier, index, sidecar, Event::State::Ready).name,
+          [report_notified, starts](int status) {
+            if (starts && status == 200) report_notified(Event::State::Draining);
+          });
     }
   }
 }
 
-void Fleet::reload_site(const Fault& fault, bool begins) {
-  if (!begins) return;
-  for (int sidecar : chosen_sidecars(fault)) {
+void Fleet::reload_sites(const Fault& fault, bool starts) {
+  if (!starts) return;
+  for (int sidecar : target_sidecars(fault)) {
     auto at = std::size_t(sidecar);
-    if (processes_[at]->phase() != Process::Phase::Ready) continue;
-    ++versions_[at];
-    processes_[at]->write_file(config_for(sidecar));
-    processes_[at]->hang_up();
+    if (processes_[at]->phase() != SidecarProcess::Phase::Ready) continue;
+    ++site_versions_[at];
+    processes_[at]->write_config(config_for(sidecar));
+    processes_[at]->send_sighup();
   }
 }
 
--- a/tools/load_test/world/run_context.h
+++ b/tools/load_test/world/run_context.h
@@ -1,4 +1,4 @@
-// What all stand-ins of one run share.
+// State that all stand-ins of a run share.
 #pragma once
 
 #include <cstdio>
@@ -11,11 +11,12 @@
 
 namespace load_test {
 
-struct World {
-  Loop& loop;
+struct RunContext {
+  EventLoop& loop;
   const Scenario& scenario;
   Observer& observer;
-  Chance chance;  // of what happens while it runs; what comes is drawn ahead
+  // For random events during the run; arrivals are generated in advance.
+  RandomSource random;
   std::uint64_t last_request = 0;
 
   std::string new_request_id() {
@@ -24,14 +25,14 @@
                   static_cast<unsigned long long>(++last_request * 0x9e3779b97f4a7c15u));
     return id;
   }
-  void see(Event event) {
+  void report(Event event) {
     event.at = loop.now();
-    event.since = loop.since();
+    event.earliest = loop.earliest_event_time();
     observer.observe(event);
   }
-  // What the load test did itself it knows to the moment.
-  void did(Event event) {
-    event.at = event.since = loop.now();
+  // The time of the load test's own actions is known exactly.
+  void report_action(Event event) {
+    event.at = event.earliest = loop.now();
     observer.observe(event);
   }
 };
--- a/tools/load_test/world/sidecar_client.cpp
+++ b/tools/load_test/world/sidecar_client.cpp
@@ -6,177 +6,189 @@
 namespace load_test {
 
 namespace {
-constexpr double kLooksOn = 0.2;    // after its timeout a caller stays, to see an answer that comes too late
-constexpr double kCrossing = 0.01;  // a close within this of the request may have crossed it
+// Seconds that a client listens after its timeout, to detect a response that comes too late.
+constexpr double kLateResponseWait = 0.2;
+// If a reused connection is closed this soon after a request was sent, the sidecar probably closed it before
+// it read the request.
+constexpr double kCrossedCloseWindow = 0.01;
 }  // namespace
 
-class Caller::Link final : Line::Owner {
+class SidecarClient::Session final : Connection::Owner {
  public:
-  Link(Caller& caller) : caller_(caller), line_(caller.world_.loop, *this), reader_(Reader::Of::Answers) {}
-  ~Link() override { loop().cancel(timer_); }
+  Session(SidecarClient& client)
+      : client_(client), connection_(client.context_.loop, *this), reader_(HttpReader::Kind::Responses) {}
+  ~Session() override { loop().cancel(timer_); }
 
-  bool free() const { return !ask_ && !looking_on_ && line_.quiet(); }
-  bool carries(const std::string& request) const { return ask_ && ask_->request == request; }
-  bool connect() { return line_.connect(caller_.to_); }
+  bool available() const { return !outgoing_ && !awaiting_late_response_ && connection_.has_no_input(); }
+  bool is_handling(const std::string& request) const { return outgoing_ && outgoing_->request == request; }
+  bool connect() { return connection_.connect(client_.address_); }
 
-  void carry(const Ask& ask, Done done) {
-    kept_ = offered_ > 0;
-    ask_ = ask;
-    done_ = std::move(done);
-    offered_ = 0;
-    heard_ = false;
-    Message message;
-    message.method = ask.safe ? "GET" : "POST";
-    message.target = ask.target;
-    message.headers = {{"X-Correlation-Id", ask.request}};
-    if (!ask.tenant.empty()) message.headers.emplace_back("X-Account", ask.tenant);
-    if (!ask.key.empty()) message.headers.emplace_back("Idempotency-Key", ask.key);
-    if (ask.repeat) message.headers.emplace_back("X-Repeat", "1");
-    if (ask.tells_time)
-      message.headers.emplace_back("X-Time-Left", std::to_string(long(ask.time_left * 1e6)) + "u");
-    if (!ask.safe) message.body = "asked by " + ask.request + "\n";
-    // A connection that never comes up is its caller's time too.
-    timer_ = loop().at(loop().now() + ask.time_left, [this] { out_of_time(); });
-    line_.send(write(message));
+  void start(const OutgoingRequest& outgoing, Callback callback) {
+    reused_ = sent_at_ > 0;
+    outgoing_ = outgoing;
+    callback_ = std::move(callback);
+    sent_at_ = 0;
+    received_bytes_ = false;
+    HttpMessage message;
+    message.method = outgoing.safe ? "GET" : "POST";
+    message.target = outgoing.target;
+    message.headers = {{"X-Correlation-Id", outgoing.request}};
+    if (!outgoing.tenant.empty()) message.headers.emplace_back("X-Account", outgoing.tenant);
+    if (!outgoing.key.empty()) message.headers.emplace_back("Idempotency-Key", outgoing.key);
+    if (outgoing.is_retry) message.headers.emplace_back("X-Repeat", "1");
+    if (outgoing.sends_remaining_time)
+      message.headers.emplace_back("X-Time-Left", std::to_string(long(outgoing.client_timeout * 1e6)) + "u");
+    if (!outgoing.safe) message.body = "asked by " + outgoing.request + "\n";
+    // The client timeout also covers the time to connect.
+    timer_ = loop().call_at(loop().now() + outgoing.client_timeout, [this] { on_timeout(); });
+    connection_.send(serialize(message));
   }
-  void withdraw() {
-    if (offered_ > 0) see(Event::Kind::Withdrawn);
-    ask_.reset();
-    drop();
+  void cancel() {
+    if (sent_at_ > 0) report(Event::Kind::RequestCancelled);
+    outgoing_.reset();
+    close();
   }
-  void vanish() { line_.reset(); }
+  void reset() { connection_.reset(); }
 
  private:
-  Loop& loop() { return caller_.world_.loop; }
-  void see(Event::Kind kind, int status = 0, bool genuine = false) {
+  EventLoop& loop() { return client_.context_.loop; }
+  void report(Event::Kind kind, int status = 0, bool genuine = false) {
     Event event{kind};
-    event.request = request_;
-    event.sidecar = caller_.sidecar_;
+    event.request = request_id_;
+    event.sidecar = client_.sidecar_;
     event.status = status;
     event.genuine = genuine;
-    caller_.world_.see(event);
+    client_.context_.report(event);
   }
-  void on_written(Line&) override {
-    if (!ask_) return;
-    request_ = ask_->request;
-    Event event{Event::Kind::Offered};
-    event.request = request_;
-    event.sidecar = caller_.sidecar_;
-    event.request_class = ask_->request_class;
-    event.key = ask_->key;
-    event.figure = ask_->time_left;
-    caller_.world_.did(event);
-    offered_ = loop().now();
+  void on_all_written(Connection&) override {
+    if (!outgoing_) return;
+    request_id_ = outgoing_->request;
+    Event event{Event::Kind::RequestSent};
+    event.request = request_id_;
+    event.sidecar = client_.sidecar_;
+    event.request_class = outgoing_->request_class;
+    event.key = outgoing_->key;
+    event.value = outgoing_->client_timeout;
+    client_.context_.report_action(event);
+    sent_at_ = loop().now();
     loop().cancel(timer_);
-    timer_ = loop().at(offered_ + ask_->time_left, [this] { out_of_time(); });
+    timer_ = loop().call_at(sent_at_ + outgoing_->client_timeout, [this] { on_timeout(); });
   }
-  void on_bytes(Line&, std::string_view bytes) override {
-    heard_ = true;
+  void on_bytes(Connection&, std::string_view bytes) override {
+    received_bytes_ = true;
     while (!bytes.empty()) {
       bytes.remove_prefix(reader_.feed(bytes));
-      if (reader_.bad()) return ended(End::Broken);
-      if (!reader_.whole()) return;
-      answered(reader_.take());
+      if (reader_.invalid()) return handle_connection_loss(Result::ConnectionLost);
+      if (!reader_.complete()) return;
+      handle_response(reader_.take());
     }
   }
-  void answered(const Message& answer) {
-    // With nothing asked it is one answer more for the request before, and the invariant checker's to judge.
-    see(Event::Kind::Answered, answer.status, answer.body.starts_with("made for " + request_ + "\n"));
-    if (!ask_) {
-      // Free again, and somebody's next: it isn't dropped under them.
-      if (std::exchange(looking_on_, false)) loop().cancel(timer_);
-      if (answer.close) drop();
+  void handle_response(const HttpMessage& response) {
+    // Without a pending request this is a second or a late response to the previous one, for the invariant
+    // checker to judge.
+    report(Event::Kind::ResponseReceived, response.status,
+           response.body.starts_with("made for " + request_id_ + "\n"));
+    if (!outgoing_) {
+      // The connection can be reused from now on, so the timer must not close it.
+      if (std::exchange(awaiting_late_response_, false)) loop().cancel(timer_);
+      if (response.close) close();
       return;
     }
     loop().cancel(timer_);
-    ask_.reset();
-    Done done = std::move(done_);
-    if (answer.close) drop();
-    done(End::Answered, answer);
+    outgoing_.reset();
+    Callback callback = std::move(callback_);
+    if (response.close) close();
+    callback(Result::Responded, response);
   }
-  void on_end(Line&, bool) override {
-    reader_.ended();
-    if (reader_.whole()) {
-      Message last = reader_.take();
-      last.close = true;
-      return answered(last);
+  void on_end(Connection&, bool) override {
+    reader_.connection_closed();
+    if (reader_.complete()) {
+      HttpMessage response = reader_.take();
+      response.close = true;
+      return handle_response(response);
     }
-    ended(End::Broken);
+    handle_connection_loss(Result::ConnectionLost);
   }
-  void ended(End end) {
-    std::optional<Ask> ask = std::exchange(ask_, {});
-    Done done = std::move(done_);
-    bool crossed = kept_ && !heard_ && offered_ > 0 && loop().now() - offered_ < kCrossing;
-    if (ask && offered_ > 0) see(crossed ? Event::Kind::Crossed : Event::Kind::Broken);
-    else if (looking_on_) see(Event::Kind::Broken);
-    bool never = offered_ == 0;
-    Caller& caller = caller_;
-    drop();
-    if (!ask) return;
-    if (crossed) return caller.call(*ask, std::move(done));
-    done(never ? End::Unreachable : end, Message());
+  void handle_connection_loss(Result result) {
+    std::optional<OutgoingRequest> outgoing = std::exchange(outgoing_, {});
+    Callback callback = std::move(callback_);
+    bool crossed =
+        reused_ && !received_bytes_ && sent_at_ > 0 && loop().now() - sent_at_ < kCrossedCloseWindow;
+    if (outgoing && sent_at_ > 0) {
+      report(crossed ? Event::Kind::RequestCrossedClose : Event::Kind::ConnectionLost);
+    } else if (awaiting_late_response_) {
+      report(Event::Kind::ConnectionLost);
+    }
+    bool not_sent = sent_at_ == 0;
+    SidecarClient& client = client_;
+    close();
+    if (!outgoing) return;
+    if (crossed) return client.send(*outgoing, std::move(callback));
+    callback(not_sent ? Result::Unreachable : result, HttpMessage());
   }
-  void out_of_time() {
-    if (!ask_) return drop();
-    Done done = std::move(done_);
-    bool never = offered_ == 0;
-    ask_.reset();
-    if (never) drop();
-    else {
-      looking_on_ = true;
-      timer_ = loop().at(loop().now() + kLooksOn, [this] { drop(); });
+  void on_timeout() {
+    if (!outgoing_) return close();
+    Callback callback = std::move(callback_);
+    bool not_sent = sent_at_ == 0;
+    outgoing_.reset();
+    if (not_sent) {
+      close();
+    } else {
+      awaiting_late_response_ = true;
+      timer_ = loop().call_at(loop().now() + kLateResponseWait, [this] { close(); });
     }
-    done(never ? End::Unreachable : End::TimedOut, Message());
+    callback(not_sent ? Result::Unreachable : Result::TimedOut, HttpMessage());
   }
-  void drop() {
+  void close() {
     loop().cancel(timer_);
-    line_.close();
-    caller_.let_go(*this);
+    connection_.close();
+    client_.remove(*this);
   }
 
-  Caller& caller_;
-  Line line_;
-  Reader reader_;
-  std::optional<Ask> ask_;
-  std::string request_;  // the last one written, for what comes after its end
-  Done done_;
-  Loop::Timer timer_{};
-  double offered_ = 0;
-  bool kept_ = false, heard_ = false, looking_on_ = false;
+  SidecarClient& client_;
+  Connection connection_;
+  HttpReader reader_;
+  std::optional<OutgoingRequest> outgoing_;
+  std::string request_id_;  // the last request sent, which late events belong to
+  Callback callback_;
+  EventLoop::Timer timer_{};
+  double sent_at_ = 0;
+  bool reused_ = false, received_bytes_ = false, awaiting_late_response_ = false;
 };
 
-Caller::Caller(World& world, Address to, int sidecar)
-    : world_(world), to_(std::move(to)), sidecar_(sidecar) {}
-Caller::~Caller() = default;
+SidecarClient::SidecarClient(RunContext& context, Address address, int sidecar)
+    : context_(context), address_(std::move(address)), sidecar_(sidecar) {}
+SidecarClient::~SidecarClient() = default;
 
-void Caller::let_go(Link& link) {
-  auto found = links_.extract(&link);
-  if (!found.empty()) world_.loop.bury(std::move(found.mapped()));
+void SidecarClient::remove(Session& session) {
+  auto found = sessions_.extract(&session);
+  if (!found.empty()) context_.loop.delete_later(std::move(found.mapped()));
 }
 
-void Caller::call(const Ask& ask, Done done) {
-  for (auto& [key, link] : links_) {
-    if (link->free()) return link->carry(ask, std::move(done));
+void SidecarClient::send(const OutgoingRequest& outgoing, Callback callback) {
+  for (auto& [key, session] : sessions_) {
+    if (session->available()) return session->start(outgoing, std::move(callback));
   }
-  auto fresh = std::make_unique<Link>(*this);
-  if (!fresh->connect()) {
-    world_.loop.at(world_.loop.now(), [done = std::move(done)] { done(End::Unreachable, Message()); });
+  auto opened = std::make_unique<Session>(*this);
+  if (!opened->connect()) {
+    context_.loop.call_at(context_.loop.now(),
+                          [callback = std::move(callback)] { callback(Result::Unreachable, HttpMessage()); });
     return;
   }
-  Link& link = *fresh;
-  links_.emplace(&link, std::move(fresh));
-  link.carry(ask, std::move(done));
+  Session& session = *opened;
+  sessions_.emplace(&session, std::move(opened));
+  session.start(outgoing, std::move(callback));
 }
 
-void Caller::withdraw(const std::string& request) {
-  for (auto& [key, link] : links_) {
-    if (link->carries(request)) return link->withdraw();
+void SidecarClient::cancel(const std::string& request) {
+  for (auto& [key, session] : sessions_) {
+    if (session->is_handling(request)) return session->cancel();
   }
 }
 
-void Caller::vanish() {
-  for (auto& [key, link] : links_) link->vanish();
-  links_.clear();
+void SidecarClient::reset_connections() {
+  for (auto& [key, session] : sessions_) session->reset();
+  sessions_.clear();
 }
 
 }  // namespace load_test
--- a/tools/load_test/world/sidecar_client.h
+++ b/tools/load_test/world/sidecar_client.h
@@ -1,5 +1,5 @@
-// One party's calls to one sidecar: a client's, or an endpoint's to the sidecar of its own. Connections are
-// kept and used again; one request at a time on each.
+// Sends the requests of a client, or of an endpoint to its own sidecar, to one sidecar. Connections are
+// reused and carry one request at a time.
 #pragma once
 
 #include <functional>
@@ -12,32 +12,32 @@
 
 namespace load_test {
 
-struct Ask {
+struct OutgoingRequest {
   std::string request, request_class, target, tenant, key;
-  bool safe = true, tells_time = true, repeat = false;
-  double time_left = 1;
+  bool safe = true, sends_remaining_time = true, is_retry = false;
+  double client_timeout = 1;
 };
 
-class Caller {
+class SidecarClient {
  public:
-  enum class End { Answered, Broken, Unreachable, TimedOut };
-  using Done = std::function<void(End, const Message&)>;
-
-  Caller(World& world, Address to, int sidecar);
-  ~Caller();
-  void call(const Ask& ask, Done done);
-  void withdraw(const std::string& request);  // its caller goes; 'done' is not called
-  void vanish();                              // all connections are reset, nothing is told to anybody
+  enum class Result { Responded, ConnectionLost, Unreachable, TimedOut };
+  using Callback = std::function<void(Result, const HttpMessage&)>;
+
+  SidecarClient(RunContext& context, Address address, int sidecar);
+  ~SidecarClient();
+  void send(const OutgoingRequest& outgoing, Callback callback);
+  void cancel(const std::string& request);  // the client closes the connection; the callback is not called
+  void reset_connections();                 // without callbacks or events
   int sidecar() const { return sidecar_; }
-  std::size_t connections() const { return links_.size(); }
+  std::size_t connections() const { return sessions_.size(); }
 
  private:
-  class Link;
-  void let_go(Link& link);
-  World& world_;
-  const Address to_;
+  class Session;
+  void remove(Session& session);
+  RunContext& context_;
+  const Address address_;
   const int sidecar_;
-  std::unordered_map<const Link*, std::unique_ptr<Link>> links_;
+  std::unordered_map<const Session*, std::unique_ptr<Session>> sessions_;
 };
 
 }  // namespace load_test
