--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -1,5 +1,5 @@
-// The records of an endpoint that several modules of the policy read: identity, health, responses, attempts
-// in flight. EndpointTable owns them.
+// The per-endpoint state that several modules of the policy share: identity, health, response history and
+// attempts in flight. EndpointTable owns it.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace puffinvane {
 
-// The slot of an endpoint in the EndpointTable; it is reused once the endpoint is removed.
+// The slot of an endpoint in the EndpointTable. A slot is reused after its endpoint was removed.
 enum class EndpointIndex : std::size_t {};
 
 // An attempt that has no outcome yet.
@@ -23,7 +23,7 @@
   double sent_at = 0;
   RequestId request = 0;
   int attempt_number = 0;
-  std::size_t class_index = 0;  // of the request; not part of the order
+  std::size_t class_index = 0;  // request class; ignored by operator<
 
   friend bool operator<(const InFlightAttempt& left, const InFlightAttempt& right) {
     return std::tie(left.sent_at, left.request, left.attempt_number) <
@@ -31,21 +31,22 @@
   }
 };
 
-// Where the ejection of a target stands; OutlierEjection changes it.
+// Whether a target is ejected or recovering, and for how long. OutlierEjection updates it.
+// An outage lasts from the ejection of a target until it is fully used again, recovery included.
 struct EjectionState {
   Health health = Health::Removed;
-  double next_ejection_s = 0;
+  double next_ejection_s = 0;  // duration of the next ejection
   double ejected_until = 0;
-  int recovery_limit = 0;                    // attempts in flight at most while recovering
-  double outage_started_at = 0;              // 0: in full use
-  std::vector<double> outage_durations_s{};  // how long the last absences lasted
+  int recovery_limit = 0;                    // maximum number of attempts in flight while recovering
+  double outage_started_at = 0;              // 0: no outage now
+  std::vector<double> outage_durations_s{};  // the most recent outages, oldest first
 };
 
 // What attempts are sent to: an endpoint as a whole, or one request class at an endpoint.
 struct AttemptTarget {
   EjectionState ejection;
   ResponseHistory responses;
-  std::set<InFlightAttempt> in_flight;  // by time of sending
+  std::set<InFlightAttempt> in_flight;  // ordered by the time they were sent
 };
 
 struct Endpoint {
@@ -54,31 +55,31 @@
   std::string zone;
   std::int64_t cell = 0;
   double weight = 1;        // as listed
-  double online_since = 0;  // 0: before this process knew of it
-  bool is_missing = false;  // left out of a full list, or listed as removed
-  double last_used_at = 0;  // when the last attempt was sent
-  Load load;                // as its last response reported it
+  double online_since = 0;  // start time of the endpoint; 0: it started before this process knew of it
+  bool is_missing = false;  // absent from the last full list, or listed as removed
+  double last_used_at = 0;  // when the most recent attempt was sent
+  Load load;                // as reported by its most recent response
   double load_reported_at = -1e9;
-  AttemptTarget whole;
-  std::vector<AttemptTarget> by_class;  // by request class; empty while no attempt was sent
+  AttemptTarget whole;                  // across all request classes
+  std::vector<AttemptTarget> by_class;  // per request class; empty until the endpoint is tracked
 
   Health health() const { return whole.ejection.health; }
-  // Of a request class that got no attempt yet: as the whole endpoint's.
+  // The health for one request class; that of the whole endpoint if it has no statistics per class.
   Health class_health(std::size_t class_index) const {
     return by_class.empty() ? health() : by_class[class_index].ejection.health;
   }
 };
 
-constexpr double kLoadReportMaxAgeSeconds = 3;
+constexpr double kLoadReportMaxAgeSeconds = 3;  // older load reports are ignored
 
-// The depth for the hedge's bound and the learned capacity: own attempts in flight, or the reported depth if
-// that is recent and deeper.
+// How many requests the endpoint is assumed to have: this instance's attempts in flight, or the depth that
+// the endpoint reported recently if that is larger. Hedging limits and the learned capacity are based on it.
 inline double effective_depth(const Endpoint& endpoint, double now) {
   bool is_recent = now - endpoint.load_reported_at < kLoadReportMaxAgeSeconds;
   return std::max(double(endpoint.whole.in_flight.size()), is_recent ? endpoint.load.depth : 0);
 }
 
-// A value for each endpoint slot; slots that were never written have the default.
+// A value for each endpoint slot; slots that were never written hold a default-constructed value.
 template <typename Value>
 class PerEndpoint {
  public:
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -9,16 +9,20 @@
 
 namespace {
 
-// Requests of depth that a choice counts for.
-constexpr double kCrossZoneDepth = 30;           // times the price of a request that goes to another zone
-constexpr double kSameEndpointRetryDepth = 100;  // only for want of any other endpoint
-constexpr double kKeyAffinityDepth = 5;
-constexpr double kStartingEndpointDepth = 4;  // of a warm endpoint that one with budget goes before
-constexpr double kReportedTieShare = 0.01;    // of a random draw, where responses report load
-constexpr double kDepthTieShare = 0.2;        // of the depth
-constexpr double kSmallestDraw = 1e-9;        // keeps the logarithm finite
-
-// One selection: what holds for all candidates is worked out once.
+// Penalties and preferences, in units of queue depth: attempts in flight that have the same effect on the
+// choice.
+constexpr double kCrossZoneDepth = 30;  // for another zone, multiplied by Deployment::cross_zone_price
+constexpr double kSameEndpointRetryDepth = 100;  // so large that the same endpoint is only the last resort
+constexpr double kKeyAffinityDepth = 5;      // scale of the preference for the endpoint that a key hashes to
+constexpr double kStartingWeightFactor = 4;  // weight multiplier of a starting endpoint that has budget
+// Weight of the random tie-breaker: as a share of an exponential draw where responses report load, else as a
+// share of the depth.
+constexpr double kReportedTieShare = 0.01;
+constexpr double kDepthTieShare = 0.2;
+constexpr double kMinUniform = 1e-9;  // keeps the logarithm finite
+
+// Scores the candidates of one selection. What is the same for all candidates is computed once, in the
+// constructor.
 class CandidateScorer {
  public:
   CandidateScorer(const EndpointSelection::Inputs& inputs, const RequestState& request,
@@ -39,8 +43,7 @@
     if (!accepts_attempts(endpoint)) {
       return false;
     }
-    // A recovering endpoint is on trial: an unsafe request, which could not be sent again, is not risked
-    // there.
+    // A recovering endpoint may still fail, and an unsafe request could not be retried after that.
     if (endpoint.health() == Health::Recovering && is_unsafe_) {
       return false;
     }
@@ -53,14 +56,15 @@
     return inputs_.retry_safety.may_attempt(request_, endpoint, now_);
   }
 
-  // The lowest score is selected. Ties break at random, in proportion to the weight, as the least of
-  // exponential draws is so spread. With a key the draw is a hash that is the same at all instances, as an
-  // endpoint that met the key lately does less work for it.
+  // The lowest score wins. Ties are broken by an exponential draw divided by the weight: the smallest of such
+  // draws belongs to each endpoint with a probability in proportion to its weight. For a request with a key
+  // the uniform number is a hash, so that all instances prefer the same endpoint: one that has served the key
+  // recently has less work to do for it.
   double score(const Endpoint& endpoint, Random& random) const {
     bool has_key = request_.key_hash != 0;
     double uniform =
         has_key ? to_unit_interval(hash_name(request_.key_hash, endpoint.name)) : random.uniform();
-    double draw = needs_draw_ ? -std::log(kSmallestDraw + uniform) : 0;
+    double draw = needs_draw_ ? -std::log(kMinUniform + uniform) : 0;
     double cross_zone = endpoint.zone == inputs_.deployment.zone ? 0 : cross_zone_depth_;
     double retry = is_repeat(endpoint) ? kSameEndpointRetryDepth : 0;
     double depth = double(endpoint.whole.in_flight.size()) + own_attempt_depth_ + cross_zone + retry;
@@ -97,11 +101,12 @@
   double weight_of(const Endpoint& endpoint) const {
     double own_weight = inputs_.subset.own_weight(endpoint.index);
     double weight = (own_weight > 0 ? own_weight : endpoint.weight) / endpoint.whole.responses.slowness(now_);
-    // What the slow-start rule leaves is used soon: saved up, it would be spent by all instances at once.
+    // Budget for a starting endpoint is spent early. If it were saved up, all instances could spend it at
+    // once.
     if (inputs_.slow_start.is_starting(endpoint, now_)) {
-      weight *= kStartingEndpointDepth;
+      weight *= kStartingWeightFactor;
     }
-    // A heavy request's own work is most of its latency, so it goes rather to fast endpoints.
+    // The latency of a heavy request consists mostly of its own work, so it favours fast endpoints.
     if (request_.work_ratio > 1) {
       weight = std::pow(weight, request_.work_ratio);
     }
@@ -116,9 +121,9 @@
   bool is_first_attempt_;
   bool may_retry_same_endpoint_;
   bool is_unsafe_;
-  bool needs_draw_;           // an exponential draw decides, or breaks ties
-  double own_attempt_depth_;  // that the attempt itself counts for
-  double cross_zone_depth_;   // that another zone counts for
+  bool needs_draw_;           // whether an exponential draw selects the endpoint or breaks ties
+  double own_attempt_depth_;  // added to the depth for the attempt that is being placed
+  double cross_zone_depth_;   // added to the depth of endpoints in another zone
 };
 
 std::optional<EndpointIndex> select_among(const std::vector<EndpointIndex>& candidates,
@@ -160,13 +165,13 @@
   if (now >= request.deadline - 2 * inputs_.deployment.round_trip_s) {
     return false;
   }
-  bool may_repeat = inputs_.retry_safety.may_retry_same_endpoint(request);
+  bool may_retry_same = inputs_.retry_safety.may_retry_same_endpoint(request);
   for (const Endpoint& endpoint : inputs_.endpoints.slots()) {
     if (endpoint.health() != Health::Healthy ||
         endpoint.class_health(request.class_index) != Health::Healthy) {
       continue;
     }
-    if (has_attempted(request, endpoint.index) && !may_repeat) {
+    if (has_attempted(request, endpoint.index) && !may_retry_same) {
       continue;
     }
     if (inputs_.retry_safety.may_attempt(request, endpoint, now)) {
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -1,5 +1,6 @@
-// Which endpoint gets the next attempt of a request: the lowest depth among the candidates, weighted by size
-// and speed, with zones, keys and random ties. It reads the state of other modules and has none of its own.
+// Selects the endpoint for the next attempt of a request: the candidate with the fewest attempts in flight
+// relative to its weight and speed. Zones and request keys shift the choice, and ties are broken at random.
+// Apart from one flag it has no state of its own and reads that of other modules.
 #pragma once
 
 #include <optional>
@@ -16,7 +17,8 @@
 
 class EndpointSelection {
  public:
-  // LowestDepth: for first attempts and retries. AtRandom: for hedges.
+  // LowestDepth: the least loaded candidate, for first attempts and retries. AtRandom: any candidate, with a
+  // probability in proportion to its weight, for hedges.
   enum class Strategy { LowestDepth, AtRandom };
 
   struct Inputs {
@@ -28,13 +30,15 @@
   };
   explicit EndpointSelection(const Inputs& inputs) : inputs_(inputs) {}
 
-  // From now on listed weights are this instance's shares, so that ties are drawn by them.
+  // From now on the listed weights are this instance's shares: ties are broken in proportion to them.
   void on_instance_shares_known() { weights_are_shares_ = true; }
 
-  // An endpoint of the subset that may take an attempt of `request` now, or else of the whole ring.
+  // The endpoint for the next attempt of `request`: a member of the subset, or any listed endpoint if no
+  // member is eligible. Empty if none is eligible, or if the request has used up its attempts.
   std::optional<EndpointIndex> select(const RequestState& request, Strategy strategy, double now,
                                       Random& random) const;
-  // Whether a healthy endpoint, open to attempts or not, may get another attempt of `request` in its time.
+  // Whether a retry of `request` is possible before its deadline at some healthy endpoint, even if that
+  // endpoint can't take the attempt right now.
   bool has_retry_target(const RequestState& request, double now) const;
 
  private:
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -43,7 +43,7 @@
   if (endpoint.health() == Health::Removed) {
     removed_.insert(endpoint.index);
   } else if (before == Health::Removed) {
-    relisted_.insert(endpoint.index);
+    newly_listed_.insert(endpoint.index);
   }
 }
 
@@ -67,6 +67,7 @@
 
 EndpointTable::Release EndpointTable::release_removed() {
   Release release;
+  // An endpoint that was listed again is only dropped from removed_.
   for (auto next = removed_.begin(); next != removed_.end();) {
     const Endpoint& endpoint = (*this)[*next];
     bool is_removed = endpoint.health() == Health::Removed;
@@ -87,14 +88,14 @@
   --counts_[static_cast<std::size_t>(Health::Removed)];
   index_by_name_.erase((*this)[index].name);
   tracked_.erase(index);
-  relisted_.erase(index);
+  newly_listed_.erase(index);
   free_slots_.insert(index);
   (*this)[index] = Endpoint();
 }
 
-std::set<EndpointIndex> EndpointTable::take_relisted() {
+std::set<EndpointIndex> EndpointTable::take_newly_listed() {
   std::set<EndpointIndex> taken;
-  taken.swap(relisted_);
+  taken.swap(newly_listed_);
   return taken;
 }
 
--- a/src/policy/endpoint_table.h
+++ b/src/policy/endpoint_table.h
@@ -1,5 +1,5 @@
-// Which endpoints exist, which of them are listed, and which have statistics. It holds no rule of ejection or
-// selection.
+// The table of known endpoints: which are listed, and which have statistics. Ejection and selection are
+// decided elsewhere.
 #pragma once
 
 #include <array>
@@ -20,11 +20,12 @@
 
   struct Update {
     bool weight_changed = false;
-    bool restarted = false;  // it has another start time
+    bool restarted = false;  // the start time differs from the one known before
   };
   struct Release {
-    std::vector<EndpointIndex> removed;  // no longer listed
-    std::vector<EndpointIndex> freed;    // of those, slots without attempts in flight, which may be reused
+    std::vector<EndpointIndex> removed;  // endpoints that are no longer listed
+    std::vector<EndpointIndex>
+        freed;  // those of `removed` without attempts in flight: the slot may be reused
   };
 
   explicit EndpointTable(std::size_t class_count) : class_count_(class_count) {}
@@ -33,30 +34,31 @@
   const Endpoint& operator[](EndpointIndex index) const {
     return endpoints_[static_cast<std::size_t>(index)];
   }
-  // All slots, free ones too: those have health Removed and no name.
+  // All slots, including free ones, which have health Removed and an empty name.
   const std::vector<Endpoint>& slots() const { return endpoints_; }
   const NameIndex& by_name() const { return index_by_name_; }
   std::optional<EndpointIndex> find(std::string_view name) const;
-  // Takes the lowest free slot for a name that is not known.
+  // Adds an endpoint with health Removed, in the lowest free slot, if the name is unknown.
   Endpoint& find_or_add(const std::string& name);
 
-  // Endpoints in `health`, and endpoints that are listed, in constant time.
+  // The number of endpoints with this health, and of all listed endpoints; both take constant time.
   int count(Health health) const { return counts_[static_cast<std::size_t>(health)]; }
   int listed_count() const;
-  // Has to be called after each change of an endpoint's health.
+  // Must be called after each change of an endpoint's health; `before` is the previous health.
   void on_health_changed(const Endpoint& endpoint, Health before);
 
-  // Takes over what a list says of an endpoint that is listed as ready.
+  // Copies the fields of an endpoint that is listed as ready, and clears its samples if it has restarted.
   Update update_from_list(Endpoint& endpoint, const ListEntry& entry);
-  // Frees what was removed and has no attempt in flight.
+  // Frees the slots of removed endpoints that have no attempt in flight.
   Release release_removed();
-  // Endpoints that were listed, or listed again, since the last call.
-  std::set<EndpointIndex> take_relisted();
+  // Returns the endpoints that became listed since the last call.
+  std::set<EndpointIndex> take_newly_listed();
 
-  // Endpoints with statistics: those that got attempts, or whose statistics were imported.
+  // Tracked endpoints have statistics: they received attempts, or their statistics were imported. An endpoint
+  // that is not tracked is healthy or removed, as nothing is known that could have ejected it.
   const std::set<EndpointIndex>& tracked() const { return tracked_; }
   void track(EndpointIndex index);
-  // Drops the statistics of a healthy endpoint that is not used; it counts as new.
+  // Drops the statistics of a healthy, unused endpoint, which is then treated as new.
   void untrack(EndpointIndex index);
 
  private:
@@ -66,10 +68,10 @@
   std::vector<Endpoint> endpoints_;
   NameIndex index_by_name_;
   std::set<EndpointIndex> free_slots_;
-  std::set<EndpointIndex> removed_;   // since the last release_removed
-  std::set<EndpointIndex> relisted_;  // since the last take_relisted
+  std::set<EndpointIndex> removed_;       // removed endpoints whose slot is not free yet
+  std::set<EndpointIndex> newly_listed_;  // since the last call of take_newly_listed
   std::set<EndpointIndex> tracked_;
-  std::array<int, 4> counts_{};  // by Health
+  std::array<int, 4> counts_{};  // number of endpoints, indexed by Health
 };
 
 }  // namespace puffinvane
--- a/src/policy/endpoint_table_test.cpp
+++ b/src/policy/endpoint_table_test.cpp
@@ -41,8 +41,8 @@
   Endpoint& endpoint = endpoints.find_or_add("a");
   set_health(endpoints, endpoint, Health::Healthy);
 
-  EXPECT_EQ(endpoints.take_relisted(), std::set<EndpointIndex>{endpoint.index});
-  EXPECT_EQ(endpoints.take_relisted(), std::set<EndpointIndex>{});
+  EXPECT_EQ(endpoints.take_newly_listed(), std::set<EndpointIndex>{endpoint.index});
+  EXPECT_EQ(endpoints.take_newly_listed(), std::set<EndpointIndex>{});
 }
 
 TEST(EndpointTable, ReusesTheSlotOfARemovedEndpoint) {
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -28,7 +28,7 @@
 
 void Subset::update_ring(EndpointTable& endpoints) {
   update_part_count(endpoints.listed_count());
-  std::set<EndpointIndex> added = endpoints.take_relisted();
+  std::set<EndpointIndex> added = endpoints.take_newly_listed();
   int ring_number = deployment_.instance_index % sharing_instances() + 1;
   std::uint64_t seed = kHashMultiplier * std::uint64_t(ring_number);
   if (seed != ring_seed_) {
