--- a/src/policy/completion_rate.h
+++ b/src/policy/completion_rate.h
@@ -1,5 +1,5 @@
-// The rate of responses that this instance gets: a recent one, and the best of a longer time, which stands
-// for calm.
+// The rate of responses that this instance receives: the recent rate, and the best rate of the last 40 s,
+// which estimates what the endpoints serve when they are not overloaded.
 #pragma once
 
 #include <cstddef>
@@ -10,33 +10,36 @@
 class CompletionRate {
  public:
   static constexpr double kTickSeconds = 0.1;
-  // The span of a rate: long enough for a few dozen responses, as the best of a few would only be chance.
+  // Rates are measured over this window. In a shorter one with only a few responses, the best rate would
+  // mostly show random variation.
   static constexpr std::size_t kWindowTicks = 80;
   static constexpr double kWindowSeconds = double(kWindowTicks) * kTickSeconds;
 
   void record_response() { ++responses_in_tick_; }
-  // To be called every kTickSeconds.
+  // Must be called every kTickSeconds.
   void on_tick();
-  void clear() { responses_.clear(); }
+  void clear() { responses_by_tick_.clear(); }
 
-  // Responses a second in the last window, and in the best window kept.
+  // Responses per second in the last window, and in the best window of the last 40 s.
   double recent_per_s() const { return recent_per_s_; }
   double best_per_s() const { return best_per_s_; }
 
-  // Responses in each of the last ticks, oldest first.
-  const std::deque<double>& responses_by_tick() const { return responses_; }
-  // Adds `share` of the responses that another instance got in each of the last ticks.
-  void add_imported(const std::deque<double>& responses_by_tick, double share);
+  // The number of responses in each of the last ticks, oldest first.
+  const std::deque<double>& responses_by_tick() const { return responses_by_tick_; }
+  // Adds the responses that another instance received in each of the last ticks, multiplied by `share`.
+  void add_imported(const std::deque<double>& imported, double share);
 
  private:
-  static constexpr std::size_t kTickLimit = 400;      // 40 s
-  static constexpr std::size_t kShortestWindow = 20;  // ticks that a rate is taken over at least
+  static constexpr std::size_t kMaxTicks = 400;  // 40 s
+  // With less history a rate is still divided by this many ticks, so that a few early responses don't give a
+  // high rate.
+  static constexpr std::size_t kMinWindowTicks = 20;
 
   void update_rates();
-  // Of the windows that end within the last `ticks`.
+  // The best rate of the windows within the last `ticks`.
   double best_of_last(std::size_t ticks) const;
 
-  std::deque<double> responses_;
+  std::deque<double> responses_by_tick_;
   double responses_in_tick_ = 0;
   double recent_per_s_ = 0;
   double best_per_s_ = 0;
--- a/src/policy/latency_tracker.cpp
+++ b/src/policy/latency_tracker.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr double kHedgePercentile = 0.95;  // the paper's figure
-// What stands in for figures that there are too few samples for, as shares of the latency objective.
+constexpr double kHedgePercentile = 0.95;  // the value of the backup request paper
+// Defaults while there are too few samples, as shares of the latency objective.
 constexpr double kDefaultThresholdShare = 0.5;
-constexpr double kDefaultCalmShare = 0.25;
+constexpr double kDefaultUnloadedShare = 0.25;
 
 }  // namespace
 
@@ -30,15 +30,15 @@
 
 void LatencyTracker::record_means() {
   for (ClassLatencies& samples : classes_) {
-    if (samples.latencies.size() >= kMinimumSamples) {
-      append_bounded(samples.means, mean(samples.latencies), kMeanLimit);
+    if (samples.latencies.size() >= kMinSamples) {
+      append_bounded(samples.means, mean(samples.latencies), kMaxMeans);
     }
   }
 }
 
 double LatencyTracker::hedge_threshold_s(std::size_t class_index) const {
   const ClassLatencies& samples = classes_[class_index];
-  if (samples.latencies.size() < kMinimumSamples) {
+  if (samples.latencies.size() < kMinSamples) {
     return samples.latency_objective_s * kDefaultThresholdShare;
   }
   return samples.percentile_s;
@@ -50,7 +50,7 @@
     return *std::min_element(samples.means.begin(), samples.means.end());
   }
   if (samples.latencies.empty()) {
-    return samples.latency_objective_s * kDefaultCalmShare;
+    return samples.latency_objective_s * kDefaultUnloadedShare;
   }
   return mean(samples.latencies);
 }
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -29,10 +29,10 @@
   target.responses.restore(statistics.samples, statistics.last_response_s);
 }
 
-// Returns how many request classes both have, in the order of both.
-std::size_t import_classes(const LearnedTargets& targets, const LearnedState& state) {
-  std::size_t most = std::min(state.classes.size(), targets.latencies.class_count());
-  for (std::size_t class_index = 0; class_index < most; ++class_index) {
+// Returns the number of request classes before the first whose name differs.
+std::size_t import_classes(const LearnedStateTargets& targets, const LearnedState& state) {
+  std::size_t class_count = std::min(state.classes.size(), targets.latencies.class_count());
+  for (std::size_t class_index = 0; class_index < class_count; ++class_index) {
     const LearnedState::RequestClassState& imported = state.classes[class_index];
     if (imported.name != targets.deployment.request_classes[class_index].name) {
       return class_index;
@@ -41,16 +41,17 @@
       targets.latencies.restore(class_index, imported.latencies, imported.means);
     }
   }
-  return most;
+  return class_count;
 }
 
-void import_endpoint(const LearnedTargets& targets, const LearnedState::EndpointState& imported,
+void import_endpoint(const LearnedStateTargets& targets, const LearnedState::EndpointState& imported,
                      std::size_t class_count, double now) {
   std::optional<EndpointIndex> index = targets.endpoints.find(imported.name);
   if (!index) {
     return;
   }
   Endpoint& endpoint = targets.endpoints[*index];
+  // After a restart of the endpoint, what was learned before does not apply.
   bool is_same_process = imported.online_since_s == endpoint.online_since;
   if (!is_same_process || endpoint.health() == Health::Removed || imported.whole.health == Health::Removed) {
     return;
@@ -60,15 +61,15 @@
   Health before = endpoint.health();
   import_target(endpoint.whole, imported.whole);
   targets.endpoints.on_health_changed(endpoint, before);
-  std::size_t most = std::min(class_count, imported.by_class.size());
-  for (std::size_t class_index = 0; class_index < most; ++class_index) {
+  std::size_t shared_count = std::min(class_count, imported.by_class.size());
+  for (std::size_t class_index = 0; class_index < shared_count; ++class_index) {
     import_target(endpoint.by_class[class_index], imported.by_class[class_index]);
   }
 }
 
 }  // namespace
 
-LearnedState export_state(const LearnedSources& sources, double started_at) {
+LearnedState export_state(const LearnedStateSources& sources, double started_at) {
   LearnedState state;
   state.lateness = sources.hedging.lateness();
   state.completion_rates = sources.completions.responses_by_tick();
@@ -92,7 +93,8 @@
   return state;
 }
 
-void import_state(const LearnedTargets& targets, const LearnedState& state, double rate_share, double now) {
+void import_state(const LearnedStateTargets& targets, const LearnedState& state, double rate_share,
+                  double now) {
   std::size_t class_count = import_classes(targets, state);
   for (const LearnedState::EndpointState& endpoint : state.endpoints) {
     import_endpoint(targets, endpoint, class_count, now);
--- a/src/policy/learned_state.h
+++ b/src/policy/learned_state.h
@@ -1,5 +1,5 @@
-// Export of what the policy has learned, and import from the policy that it takes the place of. It keeps no
-// state.
+// Exports the learned state of the policy's modules, and imports the learned state of the policy that this
+// one replaces.
 #pragma once
 
 #include "src/policy/completion_rate.h"
@@ -9,8 +9,8 @@
 
 namespace puffinvane {
 
-// The modules whose state is exported.
-struct LearnedSources {
+// The modules that state is exported from.
+struct LearnedStateSources {
   const Deployment& deployment;
   const EndpointTable& endpoints;
   const LatencyTracker& latencies;
@@ -19,7 +19,7 @@
 };
 
 // The modules that state is imported into.
-struct LearnedTargets {
+struct LearnedStateTargets {
   const Deployment& deployment;
   EndpointTable& endpoints;
   LatencyTracker& latencies;
@@ -27,10 +27,12 @@
   CompletionRate& completions;
 };
 
-LearnedState export_state(const LearnedSources& sources, double started_at);
+LearnedState export_state(const LearnedStateSources& sources, double started_at);
 
-// Imports request classes as far as both have the same in the same order, endpoints that are listed here with
-// the same start time, and `rate_share` of the completion rates.
-void import_state(const LearnedTargets& targets, const LearnedState& state, double rate_share, double now);
+// Imports the state of endpoints that are listed here with the same start time, and of request classes up to
+// the first whose name differs. The completion rates are multiplied by `rate_share`, this instance's share of
+// the exporter's requests.
+void import_state(const LearnedStateTargets& targets, const LearnedState& state, double rate_share,
+                  double now);
 
 }  // namespace puffinvane
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -8,21 +8,26 @@
 
 namespace {
 
-constexpr std::size_t kAbsenceLimit = 4;          // absences kept
-constexpr double kShortestEjectionSeconds = 0.5;  // where past absences were short
-constexpr double kJitterFloor = 0.75;  // ejections last 0.75 to 1.25 of their time, so that instances
-constexpr double kJitterSpan = 0.5;    // don't return together
-constexpr int kRecoveredLimit = 8;     // attempts in flight that end a recovery
-// Do not eject more than these shares of the listed endpoints: if most fail, the cause is probably a shared
-// dependency, and ejecting them would overload the rest.
-constexpr double kMostEjectedShare = 0.5;
-constexpr double kMostEjectedShareOfClass = 0.75;
-// With no endpoint that accepts attempts every request would be rejected.
-constexpr double kLongestWithoutRecoverySeconds = 1;
-constexpr double kMinimumFailures = 3;
+constexpr std::size_t kMaxOutages = 4;       // outage durations kept for each target
+constexpr double kMinEjectionSeconds = 0.5;  // lower bound if past outages were short
+// The ejection time is multiplied by a random factor from 0.75 to 1.25, so that the instances don't return to
+// the endpoint together.
+constexpr double kJitterFloor = 0.75;
+constexpr double kJitterSpan = 0.5;
+constexpr int kRecoveredLimit = 8;  // recovery is complete once so many attempts may be in flight
+// Maximum shares of the listed endpoints that may be ejected, as a whole or for one request class. If most
+// endpoints fail, the cause is probably a shared dependency, and ejecting them would overload the rest.
+constexpr double kMaxEjectedShare = 0.5;
+constexpr double kMaxEjectedShareOfClass = 0.75;
+// While no endpoint accepts attempts, every request is rejected; after this time an ejection is cut short.
+constexpr double kMaxSecondsWithoutEndpoint = 1;
+// An endpoint fails more than the others if it has at least kMinFailures failures and its error ratio exceeds
+// kErrorRatioMargin plus kErrorRatioFactor times the ratio of the others.
+constexpr double kMinFailures = 3;
 constexpr double kErrorRatioMargin = 0.2;
-constexpr double kErrorRatioFactor = 2;  // times the others' error ratio
-// Hedge thresholds past which one attempt, or two together, make an endpoint unresponsive.
+constexpr double kErrorRatioFactor = 2;
+// A target is unresponsive if one attempt has waited for more than kOneOverdueThresholds hedge thresholds, or
+// two attempts for more than kTwoOverdueThresholds each.
 constexpr double kOneOverdueThresholds = 2;
 constexpr double kTwoOverdueThresholds = 1;
 
@@ -41,8 +46,7 @@
     state.outage_started_at = now;
   }
   state.ejected_until = now + state.next_ejection_s * (kJitterFloor + kJitterSpan * random.uniform());
-  state.next_ejection_s =
-      std::clamp(state.next_ejection_s * 2, kFirstEjectionSeconds, kLongestEjectionSeconds);
+  state.next_ejection_s = std::clamp(state.next_ejection_s * 2, kFirstEjectionSeconds, kMaxEjectionSeconds);
 }
 
 void OutlierEjection::begin_recovery(EjectionState& state) { state.recovery_limit = 1; }
@@ -51,15 +55,15 @@
 
 void OutlierEjection::end_outage(EjectionState& state, double now) {
   if (state.outage_started_at > 0) {
-    append_bounded(state.outage_durations_s, now - state.outage_started_at, kAbsenceLimit);
+    append_bounded(state.outage_durations_s, now - state.outage_started_at, kMaxOutages);
     state.outage_started_at = 0;
   }
   if (state.outage_durations_s.empty()) {
     state.next_ejection_s = kFirstEjectionSeconds;
     return;
   }
-  double half_of_absence_s = mean(state.outage_durations_s) / 2;
-  state.next_ejection_s = std::clamp(half_of_absence_s, kShortestEjectionSeconds, kLongestEjectionSeconds);
+  double half_outage_s = mean(state.outage_durations_s) / 2;
+  state.next_ejection_s = std::clamp(half_outage_s, kMinEjectionSeconds, kMaxEjectionSeconds);
 }
 
 bool OutlierEjection::may_eject(const Endpoint& endpoint, std::optional<std::size_t> class_index) const {
@@ -70,15 +74,15 @@
     const Endpoint& other = endpoints_[index];
     return other.health() != Health::Removed && state_of(other, class_index).health == Health::Ejected;
   });
-  double most_share = class_index ? kMostEjectedShareOfClass : kMostEjectedShare;
-  return double(ejected + 1) <= most_share * endpoints_.listed_count();
+  double max_share = class_index ? kMaxEjectedShareOfClass : kMaxEjectedShare;
+  return double(ejected + 1) <= max_share * endpoints_.listed_count();
 }
 
 std::optional<EndpointIndex> OutlierEjection::select_early_recovery(double now) {
   if (any_accepts_attempts()) {
     last_accepting_at_ = now;
   }
-  if (now - last_accepting_at_ < kLongestWithoutRecoverySeconds) {
+  if (now - last_accepting_at_ < kMaxSecondsWithoutEndpoint) {
     return std::nullopt;
   }
   std::optional<EndpointIndex> first;
@@ -94,7 +98,7 @@
   return first;
 }
 
-// An endpoint that is not tracked is healthy.
+// Recovering endpoints are always tracked, so looking at those and counting the healthy ones covers all.
 bool OutlierEjection::any_accepts_attempts() const {
   return endpoints_.count(Health::Healthy) > 0 ||
          std::ranges::any_of(endpoints_.tracked(), [this](EndpointIndex index) {
@@ -130,7 +134,7 @@
     other_samples += double(tracked.samples().size());
   }
   double others_ratio = other_failures / std::max(1.0, other_samples);
-  return responses.failure_count() >= kMinimumFailures &&
+  return responses.failure_count() >= kMinFailures &&
          responses.error_ratio() > kErrorRatioMargin + kErrorRatioFactor * others_ratio;
 }
 
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -1,6 +1,7 @@
-// When an endpoint, or one request class at it, gets no attempts: ejection after failures or silence, an
-// ejection time that doubles, and a recovery in which the number of attempts in flight grows. The transitions
-// between these states are in BackupRequestPolicy's table; this module has their conditions and effects.
+// Outlier ejection: an endpoint, or one request class at an endpoint, that fails or stops responding receives
+// no attempts for a while. The ejection time doubles with each ejection in an outage. Recovery is a ramp:
+// each response doubles the number of attempts that may be in flight. The transitions between these states
+// are in BackupRequestPolicy's table; this module implements their conditions and effects.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +15,13 @@
 
 class OutlierEjection {
  public:
-  static constexpr double kFirstEjectionSeconds = 1;
-  static constexpr double kLongestEjectionSeconds = 8;
+  static constexpr double kFirstEjectionSeconds = 1;  // without past outages
+  static constexpr double kMaxEjectionSeconds = 8;
 
   OutlierEjection(const EndpointTable& endpoints, const LatencyTracker& latencies)
       : endpoints_(endpoints), latencies_(latencies) {}
 
-  // Whether a healthy target, or a recovering one under its limit.
+  // True for a healthy target, and for a recovering one that is below its limit of attempts in flight.
   static bool accepts_attempts(const AttemptTarget& target) {
     if (target.ejection.health == Health::Recovering) {
       return int(target.in_flight.size()) < target.ejection.recovery_limit;
@@ -29,22 +30,23 @@
   }
   static bool has_recovered(const EjectionState& state);
 
-  // Effects of the transitions.
+  // Effects of the health transitions.
   static void begin_ejection(EjectionState& state, double now, Random& random);
   static void begin_recovery(EjectionState& state);
   static void raise_recovery_limit(EjectionState& state);
   static void end_outage(EjectionState& state, double now);
 
-  // Whether one more of the listed endpoints may be ejected: as a whole, or for one request class.
+  // Whether `endpoint` may be ejected, as a whole or for one request class, without exceeding the maximum
+  // share of ejected endpoints. A recovering target may always be ejected again.
   bool may_eject(const Endpoint& endpoint, std::optional<std::size_t> class_index) const;
-  // The endpoint whose ejection is to end now, though its time is not over: where no listed endpoint has
-  // accepted attempts for a while, the one whose ejection would end first. To be called at every tick.
+  // If no listed endpoint has accepted attempts for kMaxSecondsWithoutEndpoint, returns the ejected endpoint
+  // whose ejection ends first; its recovery should begin now. Must be called in every tick.
   std::optional<EndpointIndex> select_early_recovery(double now);
-  // Whether attempts that were sent after its last response are long past their hedge threshold. Lateness
-  // from before `awake_since` doesn't count: this process was stalled then.
+  // Whether the attempts sent since the target's last response are long past their hedge threshold. Waiting
+  // time before `awake_since`, the end of this process's last stall, doesn't count.
   bool is_unresponsive(const AttemptTarget& target, double now, double awake_since) const;
-  // Whether it fails clearly more often than the others. An error may come from behind the endpoint: then the
-  // others show as many.
+  // Whether the endpoint fails clearly more often than the others. Errors that come from a dependency behind
+  // the endpoints raise the error ratio of all of them alike.
   bool fails_more_than_others(const Endpoint& endpoint) const;
 
  private:
@@ -52,7 +54,7 @@
 
   const EndpointTable& endpoints_;
   const LatencyTracker& latencies_;
-  double last_accepting_at_ = 0;  // when a listed endpoint accepted attempts
+  double last_accepting_at_ = 0;  // last tick in which some listed endpoint accepted attempts
 };
 
 }  // namespace puffinvane
--- a/src/policy/random.h
+++ b/src/policy/random.h
@@ -1,4 +1,4 @@
-// The random numbers of a policy: the same seed gives the same draws.
+// The random number generator of a policy. The same seed gives the same sequence.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
  public:
   explicit Random(std::uint64_t seed) : generator_(seed * 2 + 1) {}
 
-  // Evenly spread over [0, 1).
+  // Uniformly distributed in [0, 1).
   double uniform() { return generator_(kSteps) / double(kSteps); }
 
  private:
--- a/src/policy/response_history.cpp
+++ b/src/policy/response_history.cpp
@@ -9,12 +9,14 @@
 
 namespace {
 
-constexpr double kInitialCapacity = 4;      // attempts, before anything is learned: the paper's figure
-constexpr double kUnboundedCapacity = 1e9;  // attempts
-// Samples of usual latency that are always counted in, so that a few responses don't swing the mean.
+// Capacities are numbers of attempts in flight.
+constexpr double kInitialCapacity = 4;  // before anything is learned; the value of the backup request paper
+constexpr double kUnboundedCapacity = 1e9;
+// So many samples with a latency ratio of 1 are added to the mean, so that a few responses can't change it
+// much.
 constexpr double kPriorSamples = 3;
 
-// How many more of the samples at `depth` or deeper were in time than late.
+// Of the samples at `depth` or deeper: the number that were in time minus the number that were late.
 int in_time_surplus(const std::vector<ResponseSample>& samples, int depth) {
   int surplus = 0;
   for (const ResponseSample& sample : samples) {
@@ -74,17 +76,17 @@
 }
 
 double ResponseHistory::learned_capacity() const {
-  double least = kInitialCapacity;
-  double most = kUnboundedCapacity;
+  double lower_bound = kInitialCapacity;
+  double upper_bound = kUnboundedCapacity;
   for (const ResponseSample& sample : samples_) {
     if (sample.in_time) {
-      least = std::max(least, sample.depth + 1.0);
+      lower_bound = std::max(lower_bound, sample.depth + 1.0);
     }
     if (in_time_surplus(samples_, sample.depth) < 0) {
-      most = std::min(most, double(sample.depth));
+      upper_bound = std::min(upper_bound, double(sample.depth));
     }
   }
-  return std::min(least, most);
+  return std::min(lower_bound, upper_bound);
 }
 
 }  // namespace puffinvane
--- a/src/policy/samples.h
+++ b/src/policy/samples.h
@@ -1,4 +1,4 @@
-// Bounded windows of samples, and the figures worked out from them.
+// Helpers for bounded windows of samples: append, percentile and mean.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace puffinvane {
 
-// Appends `sample`, and drops the oldest one past `limit`.
+// Appends `sample`, and drops the oldest sample if there are now more than `limit`.
 template <typename Samples>
 void append_bounded(Samples& samples, const typename Samples::value_type& sample, std::size_t limit) {
   samples.push_back(sample);
@@ -18,7 +18,7 @@
   }
 }
 
-// The sample below which `share` of them lie; `samples` must not be empty.
+// The sample at `share` (0 to 1) of the sorted samples, e.g. 0.5 for the median; `samples` must not be empty.
 inline double percentile(const std::deque<double>& samples, double share) {
   std::vector<double> sorted(samples.begin(), samples.end());
   auto nth = sorted.begin() + static_cast<std::ptrdiff_t>(share * double(sorted.size() - 1));
@@ -26,7 +26,7 @@
   return *nth;
 }
 
-// NaN of no samples, so that every comparison with it is false.
+// Arithmetic mean; NaN without samples, so that every comparison with it is false.
 template <typename Samples>
 double mean(const Samples& samples) {
   return std::accumulate(samples.begin(), samples.end(), 0.0) / double(samples.size());
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-constexpr std::size_t kWorkSampleLimit = 128;
-constexpr double kMostCost = 8;  // attempts of mean work that one heavy request is charged
-constexpr double kSafetyFactor =
-    0.65;  // of what the rule allows, as the rate of warm endpoints is an estimate
-constexpr double kMostSavedAttempts = 0.5;  // beyond the one that is due
+constexpr std::size_t kMaxWorkSamples = 128;
+constexpr double kMaxCost = 8;  // upper bound for a heavy request, in attempts of mean work
+// Share of the allowed attempts that is used, as the rate of warm endpoints is only an estimate.
+constexpr double kSafetyFactor = 0.65;
+constexpr double kMaxSavedAttempts = 0.5;  // in addition to the one attempt that is due
 
 }  // namespace
 
 void SlowStart::charge(EndpointIndex index, double work_s) { budgets_[index] -= cost_of(work_s); }
 
-// A heavy request costs as much as it is heavier than the mean; a light one costs a whole attempt.
+// A request with more than the mean work costs in proportion to its work; any other costs one attempt.
 double SlowStart::cost_of(double work_s) const {
-  if (work_s <= 0 || works_s_.empty()) {
+  if (work_s <= 0 || work_samples_s_.empty()) {
     return 1;
   }
-  return std::clamp(work_s / mean(works_s_), 1.0, kMostCost);
+  return std::clamp(work_s / mean(work_samples_s_), 1.0, kMaxCost);
 }
 
-// The bound. In the overload window the rule allows all instances together `multiple` times N attempts plus a
-// margin for their randomness, N = share of a warm endpoint's attempts in the window. What an instance may
-// save up is its part of that beyond the N/instances that comes in meanwhile. docs/crossings.md derives it.
+// How much budget may be saved up: let N be the attempts that the endpoint should receive from all instances
+// in one overload window. The rule allows overload_multiple times N, plus a margin of 2 * sqrt(that) + 2 for
+// random variation. An instance may save up its share of this allowance minus the N / instances that it
+// receives during the window anyway. The derivation is in docs/crossings.md.
 void SlowStart::refill(const Endpoint& endpoint, const Refill& refill, double now) {
   const SlowStartRule& rule = deployment_.slow_start;
   double progress = std::clamp((now - endpoint.online_since) / rule.duration_s, 0.0, 1.0);
@@ -39,23 +40,23 @@
   double instances = refill.sharing_instances;
   double allowed = rule.overload_multiple * own_in_window * instances;
   allowed = kSafetyFactor * (allowed + 2 * std::sqrt(allowed) + 2);
-  double most = 1 + std::clamp(allowed / instances - own_in_window, 0.0, kMostSavedAttempts);
+  double max_budget = 1 + std::clamp(allowed / instances - own_in_window, 0.0, kMaxSavedAttempts);
   double& budget = budgets_[endpoint.index];
   budget += added;
-  if (budget <= most) {
+  if (budget <= max_budget) {
     return;
   }
-  // An instance that gains as much in one tick spends it in the next; else whole attempts are forfeited and
-  // the fraction stays, as it makes the instances take turns.
-  bool refills_at_once = added >= kMostSavedAttempts;
-  budget = refills_at_once ? most : budget - std::ceil(budget - most);
+  // With a fast refill the budget is simply capped. With a slow one only whole attempts are dropped and the
+  // fraction is kept, as the different fractions spread the attempts of the instances over time.
+  bool refills_fast = added >= kMaxSavedAttempts;
+  budget = refills_fast ? max_budget : budget - std::ceil(budget - max_budget);
 }
 
 void SlowStart::restart(EndpointIndex index) {
-  auto own_turn = double(deployment_.instance_index % deployment_.instance_count);
-  budgets_[index] = own_turn / deployment_.instance_count;
+  auto position = double(deployment_.instance_index % deployment_.instance_count);
+  budgets_[index] = position / deployment_.instance_count;
 }
 
-void SlowStart::record_work(double work_s) { append_bounded(works_s_, work_s, kWorkSampleLimit); }
+void SlowStart::record_work(double work_s) { append_bounded(work_samples_s_, work_s, kMaxWorkSamples); }
 
 }  // namespace puffinvane
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,5 +1,5 @@
-// The budget of attempts to endpoints that have just started (rule 4): each instance sends its share of what
-// the slow-start rule allows all instances together. It does not choose among endpoints.
+// Budgets of attempts for endpoints that have just started (rule 4). The slow-start rule limits all instances
+// together, so the budget of each is its share of that. Endpoints are selected elsewhere.
 #pragma once
 
 #include <deque>
@@ -17,31 +17,30 @@
   }
   // Whether the budget of a starting endpoint covers one more attempt.
   bool has_budget(EndpointIndex index) const { return budgets_.at_or_default(index) >= 1; }
-  // Charges an attempt; `work_s` is the expected work of its request, 0 if unknown.
+  // Takes the cost of an attempt from the budget. `work_s`: expected work of its request, 0 if unknown.
   void charge(EndpointIndex index, double work_s);
-  // Adds what a tick of `tick_s` allows. `warm_attempts` is what a warm endpoint of weight 1 gets in a tick,
-  // `own_weight` the part of the endpoint's weight that is this instance's, `sharing_instances` how many
-  // instances send to the endpoint.
   struct Refill {
-    double tick_s = 0;
-    double warm_attempts = 0;
-    double own_weight = 0;
-    int sharing_instances = 1;
+    double tick_s = 0;          // duration of the tick
+    double warm_attempts = 0;   // what a warm endpoint of weight 1 receives from this instance in a tick
+    double own_weight = 0;      // the part of the endpoint's weight that belongs to this instance
+    int sharing_instances = 1;  // how many instances send to the endpoint
   };
+  // Adds to the budget what the slow-start rule allows this instance in one tick.
   void refill(const Endpoint& endpoint, const Refill& refill, double now);
-  // Begins the budget of an endpoint that has restarted; by their indexes, instances' first attempts take
-  // turns.
+  // Resets the budget of an endpoint that has restarted. The initial budget depends on the instance's index,
+  // so that the first attempts of the instances are spread over time.
   void restart(EndpointIndex index);
   void on_slot_freed(EndpointIndex index) { budgets_[index] = 0; }
-  // The expected work of an accepted request, for the mean that attempts are charged by.
+  // Records the expected work of an accepted request; the cost of an attempt is relative to the mean of
+  // these.
   void record_work(double work_s);
 
  private:
   double cost_of(double work_s) const;
 
   const Deployment& deployment_;
-  PerEndpoint<double> budgets_;  // attempts of mean work
-  std::deque<double> works_s_;   // of the last requests whose work is known
+  PerEndpoint<double> budgets_;        // in attempts of mean work
+  std::deque<double> work_samples_s_;  // expected work of the most recent requests that announced it
 };
 
 }  // namespace puffinvane
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -10,17 +10,19 @@
 
 namespace {
 
-constexpr int kMinimumPartSize = 4;  // endpoints in a part, and instances that share an endpoint
-// The number of parts follows the list only past these factors: every new cut opens new connections
-// everywhere.
+constexpr int kMinPartSize = 4;  // minimum of endpoints in a part, and of instances that share an endpoint
+// The number of parts changes only if it would grow or shrink by more than these factors, as each change
+// makes all instances open connections to other endpoints.
 constexpr double kPartGrowth = 1.25;
 constexpr double kPartShrinkage = 0.75;
-// Requests a second for each endpoint that keep its samples young, where responses report load.
+// Where responses report load: the requests per second that an endpoint must receive for its samples to stay
+// recent. The subset contains as many endpoints as receive this rate.
 constexpr double kRequestsPerEndpointPerSecond = 2;
 
 }  // namespace
 
-// At once, not with the next list: there may be fewer instances by now than there were parts.
+// The part count is reset at once and not with the next list: the instance count may already have dropped
+// below the old part count, and sharing_instances() must not become 0.
 void Subset::on_instance_shares_known() {
   weights_are_shares_ = true;
   part_count_ = 1;
@@ -29,6 +31,7 @@
 void Subset::update_ring(EndpointTable& endpoints) {
   update_part_count(endpoints.listed_count());
   std::set<EndpointIndex> added = endpoints.take_newly_listed();
+  // Instances are distributed over as many different rings as instances share an endpoint.
   int ring_number = deployment_.instance_index % sharing_instances() + 1;
   std::uint64_t seed = kHashMultiplier * std::uint64_t(ring_number);
   if (seed != ring_seed_) {
@@ -44,18 +47,19 @@
   }
   ring_changed_ = false;
   insert_into_ring(endpoints, added);
-  measure_ring(endpoints);
+  update_ring_offsets(endpoints);
 }
 
 void Subset::update_part_count(int listed) {
   int parts =
-      weights_are_shares_ ? 1 : std::max(1, std::min(listed, deployment_.instance_count) / kMinimumPartSize);
+      weights_are_shares_ ? 1 : std::max(1, std::min(listed, deployment_.instance_count) / kMinPartSize);
   if (parts > part_count_ * kPartGrowth || parts < part_count_ * kPartShrinkage) {
     part_count_ = parts;
   }
 }
 
-// Costs follow the change, not the list: removed endpoints are dropped, added ones are sorted and merged in.
+// Only the added endpoints are sorted and then merged into the ring, so that a small change of a long list is
+// cheap.
 void Subset::insert_into_ring(const EndpointTable& endpoints, const std::set<EndpointIndex>& added) {
   std::erase_if(ring_, [this](EndpointIndex index) { return !slots_[index].on_ring; });
   auto kept = std::ptrdiff_t(ring_.size());
@@ -75,14 +79,14 @@
   std::inplace_merge(ring_.begin(), ring_.begin() + kept, ring_.end(), precedes);
 }
 
-void Subset::measure_ring(const EndpointTable& endpoints) {
+void Subset::update_ring_offsets(const EndpointTable& endpoints) {
   double start = 0;
-  ring_starts_.clear();
+  ring_offsets_.clear();
   for (EndpointIndex index : ring_) {
-    ring_starts_.push_back(start);
+    ring_offsets_.push_back(start);
     start += endpoints[index].weight;
   }
-  ring_starts_.push_back(start);
+  ring_offsets_.push_back(start);
 }
 
 void Subset::on_endpoint_removed(EndpointIndex index) {
@@ -99,13 +103,14 @@
   if (part_count_ > 1) {
     sections = (deployment_.instance_count - index % rings + rings - 1) / rings;
   }
-  double ring_weight = ring_starts_.back();
+  double ring_weight = ring_offsets_.back();
   Section section;
   section.begin = ring_weight * (index / rings % sections) / sections;
   section.end = section.begin + ring_weight / sections;
   if (deployment_.responses_report_load) {
-    double known_share = requests_per_s / kRequestsPerEndpointPerSecond / double(ring_.size() + 1);
-    double wanted_share = deployment_.has_key_affinity ? 1 : known_share;
+    // With key affinity every instance must be able to reach the endpoint that a key hashes to.
+    double rate_share = requests_per_s / kRequestsPerEndpointPerSecond / double(ring_.size() + 1);
+    double wanted_share = deployment_.has_key_affinity ? 1 : rate_share;
     section.end = section.begin + ring_weight * std::clamp(wanted_share, 1.0 / sections, 1.0);
   }
   return section;
@@ -120,9 +125,9 @@
     return;
   }
   Section section = own_section(requests_per_s);
-  auto first_end = std::upper_bound(ring_starts_.begin() + 1, ring_starts_.end(), section.begin);
-  std::size_t position = std::min(std::size_t(first_end - (ring_starts_.begin() + 1)), ring_.size());
-  double start = ring_starts_[position];
+  auto first_end = std::upper_bound(ring_offsets_.begin() + 1, ring_offsets_.end(), section.begin);
+  std::size_t position = std::min(std::size_t(first_end - (ring_offsets_.begin() + 1)), ring_.size());
+  double start = ring_offsets_[position];
   for (; position < 2 * ring_.size() && start < section.end && members_.size() < ring_.size(); ++position) {
     const Endpoint& endpoint = endpoints[ring_[position % ring_.size()]];
     double end = start + endpoint.weight;
@@ -136,8 +141,8 @@
       members_.push_back(endpoint.index);
     }
     slot.own_weight = part;
-    // An endpoint that is ejected or starting leaves its part to the next one on the ring, not to the few
-    // others of the subset.
+    // To replace an endpoint that is ejected or starting, the section is extended along the ring. Otherwise
+    // the few remaining members would have to take its load.
     if (endpoint.health() == Health::Ejected || slow_start_.is_starting(endpoint, now)) {
       section.end += part;
     }
--- a/src/policy/subset.h
+++ b/src/policy/subset.h
@@ -1,5 +1,6 @@
-// Which endpoints this instance sends to: its part of a consistent ring of the list, so that each endpoint is
-// shared by a few instances that know it well.
+// The subset of the listed endpoints that this instance sends to. The endpoints are ordered on a consistent
+// ring, which is cut into parts of equal weight; each instance uses one part. So each endpoint is shared by
+// only a few instances, which receive enough responses to judge it.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +16,21 @@
   Subset(const Deployment& deployment, const SlowStart& slow_start)
       : deployment_(deployment), slow_start_(slow_start) {}
 
-  // Takes over changes of the list.
+  // Updates the ring after changes of the endpoint list or of the instance count.
   void update_ring(EndpointTable& endpoints);
-  // From now on listed weights are this instance's shares, so that the ring is not cut into parts.
+  // From now on the listed weights are this instance's shares of the endpoints, so every listed endpoint is
+  // used: the ring is a single part.
   void on_instance_shares_known();
-  // Selects this instance's part of the ring again. `requests_per_s` widens it where responses report load.
+  // Recomputes the members: the endpoints in this instance's section of the ring. Where responses report
+  // load, the section grows with `requests_per_s`, the rate at which this instance completes requests.
   void select_members(const EndpointTable& endpoints, double requests_per_s, double now);
 
   const std::vector<EndpointIndex>& members() const { return members_; }
-  // All listed endpoints, in the order of the ring.
+  // All listed endpoints, in ring order.
   const std::vector<EndpointIndex>& ring() const { return ring_; }
-  // The part of an endpoint's weight that belongs to this instance; 0 outside of the subset.
+  // The part of an endpoint's weight that belongs to this instance; 0 for endpoints outside of the subset.
   double own_weight(EndpointIndex index) const { return slots_.at_or_default(index).own_weight; }
-  // How many instances share each endpoint: one at least, as there are no more parts than instances.
+  // How many instances share each endpoint; at least 1, as there are never more parts than instances.
   int sharing_instances() const { return deployment_.instance_count / part_count_; }
 
   void on_weight_changed() { ring_changed_ = true; }
@@ -40,7 +43,7 @@
     std::uint64_t ring_order = 0;
     bool on_ring = false;
   };
-  // A section of the ring, by weight.
+  // A section of the ring; positions are cumulative weights.
   struct Section {
     double begin = 0;
     double end = 0;
@@ -48,19 +51,19 @@
 
   void update_part_count(int listed);
   void insert_into_ring(const EndpointTable& endpoints, const std::set<EndpointIndex>& added);
-  void measure_ring(const EndpointTable& endpoints);
+  void update_ring_offsets(const EndpointTable& endpoints);
   Section own_section(double requests_per_s) const;
 
   const Deployment& deployment_;
   const SlowStart& slow_start_;
   PerEndpoint<Slot> slots_;
   std::vector<EndpointIndex> ring_;
-  std::vector<double>
-      ring_starts_;  // where each endpoint of the ring begins, by weight, and where the last one ends
+  // Cumulative weights: where each endpoint of the ring begins, and at last where the ring ends.
+  std::vector<double> ring_offsets_;
   std::vector<EndpointIndex> members_;
-  std::uint64_t ring_seed_ = 0;  // instances with the same seed share one ring
-  int part_count_ = 1;
-  bool ring_changed_ = false;
+  std::uint64_t ring_seed_ = 0;  // instances with the same seed have the same ring
+  int part_count_ = 1;           // parts that the ring is cut into
+  bool ring_changed_ = false;    // a weight changed or an endpoint was removed since the last update_ring
   bool weights_are_shares_ = false;
 };
 
