--- a/include/puffinvane/result.h
+++ b/include/puffinvane/result.h
@@ -1,5 +1,4 @@
-// The result of an operation that can fail: a value or a typed error. It is not for failures that a caller
-// can't handle.
+// The result of an operation that can fail in a way that the caller handles: a value or a typed error.
 #pragma once
 
 #include <utility>
@@ -7,8 +6,8 @@
 
 namespace puffinvane {
 
-// Holds either a T or an Error, which have to be different types. Reading the one that is not there is a
-// fault of the caller and throws std::bad_variant_access.
+// Holds either a T or an Error, which must be different types. Accessing the one that is not held is a
+// programming error and throws std::bad_variant_access.
 template <typename T, typename Error>
 class Result {
  public:
--- a/include/puffinvane/transition_table.h
+++ b/include/puffinvane/transition_table.h
@@ -1,22 +1,23 @@
-// State machines as tables of transitions: state, input, next state and effect.
+// State machines as tables of transitions. Each row has a state, an input, the next state and an effect.
 #pragma once
 
 namespace puffinvane {
 
-// One row: in `state`, `input` leads to `next` and runs `effect`, a member function of Subject.
-template <typename Subject, typename State, typename Input, typename... Of>
+// One row: in `state`, `input` sets the state to `next` and calls `effect`, a member function of Subject that
+// takes Arguments.
+template <typename Subject, typename State, typename Input, typename... Arguments>
 struct Transition {
   State state;
   Input input;
   State next;
-  void (Subject::*effect)(Of&...);
+  void (Subject::*effect)(Arguments&...);
 };
 
-// Sets `state` and runs the effect of the row for its state and input. An input without a row in a state
-// changes nothing: an event that comes late for an object that has moved on is dropped.
-template <typename Transitions, typename Subject, typename State, typename Input, typename... Of>
+// Applies the row for `state` and `input`: updates `state`, then calls the effect. Without such a row nothing
+// happens, so that an event that arrives too late for the current state is ignored.
+template <typename Transitions, typename Subject, typename State, typename Input, typename... Arguments>
 void apply_transition(const Transitions& transitions, Subject& subject, State& state, Input input,
-                      Of&... arguments) {
+                      Arguments&... arguments) {
   for (const auto& transition : transitions) {
     if (transition.state == state && transition.input == input) {
       state = transition.next;
--- a/testing/policy/allocation_counter.cpp
+++ b/testing/policy/allocation_counter.cpp
@@ -7,7 +7,7 @@
 std::size_t allocated = 0;
 }  // namespace
 
-// Not inlined, as the compiler would then take malloc and delete for a pair that does not match.
+// Not inlined: the compiler would otherwise warn about a mismatched pair of malloc and delete.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   allocated += size;
   if (void* memory = std::malloc(size)) return memory;
--- a/testing/policy/builders.h
+++ b/testing/policy/builders.h
@@ -1,5 +1,5 @@
-// Builders of what the policy's tests pass to it: settings, endpoints of a list and requests. Each starts
-// from defaults that most tests share, so that a test names only what it depends on.
+// Builders of the settings, list entries and requests that tests pass to the policy. The defaults suit most
+// tests, so that a test states only what it depends on.
 #pragma once
 
 #include <cstdint>
@@ -52,7 +52,7 @@
 
 inline EndpointBuilder endpoint(std::string name) { return EndpointBuilder(std::move(name)); }
 
-// A request as a client sends it; by default of no tenant, without a key, of unknown work, due in 4 s.
+// A request; by default without a tenant or a key, of unknown work, and with a remaining deadline of 4 s.
 class RequestBuilder {
  public:
   explicit RequestBuilder(std::string request_class) : request_class_(std::move(request_class)) {}
@@ -72,7 +72,7 @@
     work_s_ = work_s;
     return *this;
   }
-  // The request under `id`; its texts are those of this builder.
+  // The result refers to strings of this builder and must not outlive it.
   Request build(RequestId id) const {
     return {id, request_class_, tenant_, remaining_time_s_, key_, work_s_};
   }
@@ -89,9 +89,9 @@
   return RequestBuilder(std::move(request_class));
 }
 
-// Settings with one request class for each kind of idempotency: "read" (safe), "tagged", "tagged-all" and
-// "tagged-cell" (keyed, for 1 s, within a zone, all endpoints and a cell) and "mutating" (unsafe, and of 8
-// times their priority weight). One instance, 4 attempts, hedging and cancellation are on.
+// Settings of a single instance with 4 attempts, hedging and cancellation. The request classes are "read"
+// (safe), "tagged", "tagged-all" and "tagged-cell" (keyed for 1 s, within a zone, all endpoints or a cell)
+// and "mutating" (unsafe, with 8 times the priority weight of the others).
 class DeploymentBuilder {
  public:
   DeploymentBuilder() {
@@ -112,7 +112,7 @@
     settings_.max_retry_after_s = 2;
     settings_.round_trip_s = 0.005;
   }
-  // Responses report the endpoint's load, and no tier is behind the endpoints.
+  // Responses report the endpoint's load, and there is no tier behind the endpoints.
   DeploymentBuilder& reporting_load() {
     settings_.responses_report_load = true;
     settings_.last_tier = true;
@@ -131,7 +131,7 @@
     settings_.slow_start = rule;
     return *this;
   }
-  // Of every request class.
+  // Sets the latency objective of every request class.
   DeploymentBuilder& with_latency_objective(double objective_s) {
     for (RequestClass& request_class : settings_.request_classes) {
       request_class.latency_objective_s = objective_s;
@@ -171,14 +171,14 @@
  private:
   static RequestClass request_class(std::string name, Idempotency idempotency,
                                     IdempotencyScope idempotency_scope) {
-    RequestClass made;
-    made.name = std::move(name);
-    made.idempotency = idempotency;
-    made.idempotency_scope = idempotency_scope;
-    made.idempotency_window_s = idempotency == Idempotency::Keyed ? 1 : 0;
-    made.latency_objective_s = 1;
-    made.priority_weight = 1;
-    return made;
+    RequestClass built;
+    built.name = std::move(name);
+    built.idempotency = idempotency;
+    built.idempotency_scope = idempotency_scope;
+    built.idempotency_window_s = idempotency == Idempotency::Keyed ? 1 : 0;
+    built.latency_objective_s = 1;
+    built.priority_weight = 1;
+    return built;
   }
 
   Deployment settings_;
--- a/testing/policy/fake_host.h
+++ b/testing/policy/fake_host.h
@@ -1,6 +1,6 @@
-// A Host for tests of a policy: it owns the policy, records what the policy asks for, and plays its timers as
-// the test moves the time on. It does no I/O. A failure of a GoogleTest expectation is raised if the policy
-// attempts or concludes a request that already has its final answer.
+// A Host for tests of a policy, without I/O. It owns the policy, records the actions that the policy
+// requests, and runs its timers as the test advances the simulated time. The test fails if the policy sends
+// an attempt for, rejects or fails a request that already has its final answer.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 
 namespace puffinvane::test {
 
-// An attempt that the policy asked for.
+// An attempt that the policy started.
 struct SentAttempt {
   RequestId request = 0;
   std::string endpoint;
@@ -29,7 +29,7 @@
   double sent_at_s = 0;
 };
 
-// An attempt that the policy asked to cancel.
+// An attempt that the policy cancelled.
 struct CancelledAttempt {
   RequestId request = 0;
   int number = 0;
@@ -40,23 +40,26 @@
  public:
   explicit FakeHost(Deployment settings, std::uint64_t seed = 7, double start_s = 100)
       : now_s_(start_s), policy_(make_policy(start_s, std::move(settings), seed, *this)) {}
-  // The policy keeps a reference to its host.
+  // Not copyable, as the policy keeps a reference to its host.
   FakeHost(const FakeHost&) = delete;
   FakeHost& operator=(const FakeHost&) = delete;
 
-  // ---- what the policy asks for
+  // ---- actions requested by the policy
   void start_attempt(RequestId request, std::string_view endpoint, double /*attempt_deadline*/) override {
-    EXPECT_FALSE(is_concluded(request)) << "attempt for request " << request << ", which has its answer";
+    EXPECT_FALSE(is_concluded(request))
+        << "attempt for request " << request << ", which already has its answer";
     sent_.push_back({request, std::string(endpoint), attempt_counts_[request]++, now_s_});
   }
   void cancel_attempt(RequestId request, int number) override { cancelled_.push_back({request, number}); }
   void reject_request(RequestId request, double /*retry_after_s*/) override {
-    EXPECT_FALSE(is_concluded(request)) << "rejection of request " << request << ", which has its answer";
+    EXPECT_FALSE(is_concluded(request))
+        << "rejection of request " << request << ", which already has its answer";
     rejected_.push_back(request);
     concluded_.insert(request);
   }
   void fail_request(RequestId request) override {
-    EXPECT_FALSE(is_concluded(request)) << "failure of request " << request << ", which has its answer";
+    EXPECT_FALSE(is_concluded(request))
+        << "failure of request " << request << ", which already has its answer";
     failed_.push_back(request);
     concluded_.insert(request);
   }
@@ -70,7 +73,7 @@
   double now_s() const { return now_s_; }
   // Sets the clock without running timers.
   void set_now(double now_s) { now_s_ = now_s; }
-  // Moves the time on by `seconds` and runs the timers that are due on the way.
+  // Advances the time by `seconds` and runs the timers that become due.
   void run_for(double seconds) {
     double end_s = now_s_ + seconds;
     while (!timers_.empty() && timers_.begin()->first <= end_s) {
@@ -81,7 +84,7 @@
     }
     now_s_ = end_s;
   }
-  // The process gets no processor time for `seconds`: timers that were due meanwhile run late, at its end.
+  // Simulates a process that gets no CPU time for `seconds`: timers that become due meanwhile run at the end.
   void stall_for(double seconds) {
     now_s_ += seconds;
     std::multimap<double, std::uint64_t> delayed;
@@ -118,12 +121,12 @@
     policy_->on_request(now_s_, received);
     return received.id;
   }
-  // `count` equal requests at once.
+  // Receives `count` identical requests at the same time.
   void receive_many(int count, const RequestBuilder& request = request_of_class("read")) {
     for (int i = 0; i < count; ++i) receive(request);
   }
   void end_attempt(const SentAttempt& ended, Outcome outcome, const Load& load = {}) {
-    SentAttempt attempt = ended;  // the policy's next attempt may move the recorded ones
+    SentAttempt attempt = ended;  // a copy, as `ended` may refer to an element of sent_, which may reallocate
     if (outcome == Outcome::Delivered && !is_concluded(attempt.request)) {
       delivered_.push_back(attempt.request);
       concluded_.insert(attempt.request);
@@ -131,12 +134,12 @@
     policy_->on_attempt_ended(now_s_, {attempt.request, attempt.number, outcome,
                                        is_concluded(attempt.request), now_s_ - attempt.sent_at_s, load});
   }
-  // Ends the attempts from `first` on, also those that are sent as others end.
+  // Ends the attempts from index `first` on, including those that are sent during this call.
   void end_attempts_from(std::size_t first, Outcome outcome) {
     for (std::size_t i = first; i < sent_.size(); ++i) end_attempt(sent_[i], outcome);
   }
   void cancel_request(RequestId request) { policy_->on_request_cancelled(now_s_, request); }
-  // Receives `count` requests one after another; each is answered after `response_time_s`.
+  // Receives `count` requests one after another. The last attempt sent is answered after `response_time_s`.
   void serve_requests(int count, double response_time_s, const std::string& request_class = "read") {
     for (int i = 0; i < count; ++i) {
       RequestId request = receive(request_of_class(request_class));
@@ -151,7 +154,7 @@
   }
   std::size_t endpoints_with_statistics() const { return policy_->export_learned_state().endpoints.size(); }
 
-  // ---- what was recorded
+  // ---- recorded actions
   const std::vector<SentAttempt>& sent() const { return sent_; }
   const SentAttempt& last_sent() const { return sent_.back(); }
   std::vector<SentAttempt> sent_from(std::size_t first) const {
--- a/testing/policy/fleet_sizes.h
+++ b/testing/policy/fleet_sizes.h
@@ -1,4 +1,5 @@
-// Two fleets whose instances each have the same traffic: one small, one as large as deployments are.
+// Two fleet sizes for tests of how costs grow: one small, and one as large as the largest deployments. An
+// instance has the same traffic in both.
 #pragma once
 
 #include <cstddef>
@@ -14,9 +15,9 @@
 
 inline constexpr FleetSize kSmallFleet{.endpoints = 200, .instances = 56};
 inline constexpr FleetSize kLargestFleet{.endpoints = 3200, .instances = 900};
-inline constexpr std::size_t kMaxEndpointsInSubset = 16;  // of one instance of such a fleet
+inline constexpr std::size_t kMaxEndpointsInSubset = 16;  // upper bound for one instance of either fleet
 
-// The settings of an instance in the middle of the fleet.
+// The settings of the instance with the middle index.
 inline DeploymentBuilder instance_of(const FleetSize& fleet) {
   return deployment().as_instance(fleet.instances / 2, fleet.instances);
 }
--- a/testing/policy/scenarios.h
+++ b/testing/policy/scenarios.h
@@ -1,4 +1,4 @@
-// Courses of events that the policy's tests of several modules begin with.
+// Sequences of events that several of the policy's tests start with.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -10,7 +10,8 @@
 
 namespace puffinvane::test {
 
-// Serves `requests` requests; `slow_endpoint` answers in 0.3 s and the others in 0.05 s.
+// Serves `requests` requests; `slow_endpoint` answers after 0.3 s and the others after 0.05 s. Hedges are
+// cancelled.
 inline void serve_with_slow_endpoint(FakeHost& host, const std::string& slow_endpoint, int requests = 40) {
   constexpr double kSlowResponseS = 0.3;
   constexpr double kResponseS = 0.05;
@@ -23,20 +24,20 @@
   }
 }
 
-// Receives requests until the attempt of one is in flight at `endpoint`, and returns that; the others are
-// answered after 0.05 s, with `load` as their endpoint's.
+// Receives requests until one is sent to `endpoint`, and returns its attempt, which stays in flight. Those
+// sent to other endpoints are answered after 0.05 s with `load` as the reported load.
 inline SentAttempt send_attempt_to(FakeHost& host, const std::string& endpoint,
                                    const std::string& request_class = "read", const Load& load = {}) {
-  constexpr int kMostRequests = 400;
+  constexpr int kMaxRequests = 400;
   constexpr double kResponseS = 0.05;
-  for (int i = 0; i < kMostRequests; ++i) {
+  for (int i = 0; i < kMaxRequests; ++i) {
     host.receive(request_of_class(request_class));
     SentAttempt attempt = host.last_sent();
     if (attempt.endpoint == endpoint) return attempt;
     host.run_for(kResponseS);
     host.end_attempt(attempt, Outcome::Delivered, load);
   }
-  ADD_FAILURE() << "none of " << kMostRequests << " requests was sent to " << endpoint;
+  ADD_FAILURE() << "none of " << kMaxRequests << " requests was sent to " << endpoint;
   return {};
 }
 
--- a/testing/policy/slow_start_fleet.h
+++ b/testing/policy/slow_start_fleet.h
@@ -1,4 +1,5 @@
-// All instances of a deployment around one endpoint in slow start: what rule 4 bounds is their sum.
+// Simulates all instances of a deployment and one endpoint in slow start. Rule 4 limits the load that all
+// instances together put on that endpoint.
 #pragma once
 
 #include <algorithm>
@@ -13,13 +14,13 @@
 
 namespace puffinvane::test {
 
-// What befalls the instances while the endpoint is in slow start.
+// What disturbs the instances while the endpoint is in slow start.
 enum class Disturbance {
   None,
-  StaleInstanceCount,  // they believe that they are half as many, and two of them have each index
-  HotRestarts,         // beside each serves a successor with its learned state
-  Restarts,            // all restart, one after another within a second, without learned state
-  UnequalWork,         // one request in ten is six times as heavy as the others
+  StaleInstanceCount,  // each assumes half of the true count, and two have the same index
+  HotRestarts,         // a successor with its learned state serves beside each instance
+  Restarts,            // all restart one after another within a second and lose their learned state
+  UnequalWork,         // one request in ten has six times the work of the others
 };
 
 enum class TrafficBeforeBurst { None, Steady };
@@ -28,14 +29,14 @@
   int instances = 1;
   int endpoints = 7;
   double requests_per_endpoint_s = 8;
-  double pause_s = 5;  // between the start of the endpoint and the burst
+  double pause_s = 5;  // from the start of the endpoint to the burst
   TrafficBeforeBurst traffic = TrafficBeforeBurst::None;
   Disturbance disturbance = Disturbance::None;
   double initial_share = 0.2;
   double duration_s = 10;
 };
 
-// The instances and their endpoints "a0", "a1" and so on; "a0" starts after a while of steady traffic.
+// The endpoints are named "a0", "a1" and so on. "a0" starts after a period of steady traffic.
 class SlowStartFleet {
  public:
   SlowStartFleet(const SlowStartScenario& scenario, unsigned seed)
@@ -43,26 +44,28 @@
     for (int i = 0; i < scenario.instances; ++i) instances_.push_back(start_instance(i, kStartS));
   }
 
-  // Steady traffic, the start of the endpoint, a pause, and then a burst during which no endpoint answers.
+  // Runs steady traffic, then the start of the endpoint, a pause, and a burst during which no endpoint
+  // answers.
   void run_burst() {
     start_endpoint();
-    pass(scenario_.pause_s, scenario_.traffic == TrafficBeforeBurst::Steady ? kSteadyLoad : 0,
-         Endpoints::Answer);
-    if (scenario_.disturbance == Disturbance::HotRestarts) hand_over();
-    pass(kBurstS, kSteadyLoad * kBurstMultiple, Endpoints::Hang);
+    run_traffic(scenario_.pause_s, scenario_.traffic == TrafficBeforeBurst::Steady ? kSteadyLoad : 0,
+                Endpoints::Answer);
+    if (scenario_.disturbance == Disturbance::HotRestarts) start_successors();
+    run_traffic(kBurstS, kSteadyLoad * kBurstMultiple, Endpoints::Hang);
   }
-  // Steady traffic only: the attempts that the endpoint gets in the first half of its slow start, as a part
-  // of those that its share comes to.
+  // Runs steady traffic only. Returns the attempts that the endpoint receives in the first half of its slow
+  // start, divided by the number that corresponds to its share.
   double run_steady() {
     start_endpoint();
     double half_s = scenario_.duration_s / 2;
-    pass(half_s, kSteadyLoad, Endpoints::Answer);
+    run_traffic(half_s, kSteadyLoad, Endpoints::Answer);
     double mean_share = scenario_.initial_share + (1 - scenario_.initial_share) / 4;
     double due = kSteadyLoad * scenario_.requests_per_endpoint_s * mean_share * half_s;
     return double(arrivals_at_started_endpoint().size()) / due;
   }
-  // The work beyond what the rule allows in the worst window of the slow start, as attempts of mean work; 0
-  // or less if the rule is kept. Arrivals are random: two or three standard deviations are allowed for.
+  // The work by which the worst overload window of the slow start exceeds what the rule allows, in attempts
+  // of mean work; 0 or less if the rule is kept. As arrivals are random, two or three standard deviations are
+  // added to the allowance.
   double worst_excess() const {
     std::vector<Arrival> arrivals = arrivals_at_started_endpoint();
     double worst = -1e9;
@@ -80,7 +83,7 @@
   }
 
  private:
-  static constexpr SlowStartRule kRule{};  // the strictest overload that deployments set
+  static constexpr SlowStartRule kRule{};  // defaults: the strictest overload settings of deployments
   static constexpr double kStartS = 100;
   static constexpr double kStepS = 0.02;
   static constexpr double kSteadyS = 8;
@@ -94,13 +97,13 @@
 
   struct Instance {
     std::unique_ptr<FakeHost> host;
-    std::size_t answered = 0;  // attempts
+    std::size_t answered = 0;  // number of attempts answered
     int index = 0;
   };
 
   struct Arrival {
     double at_s = 0;
-    double relative_work = 1;  // against the mean
+    double relative_work = 1;  // relative to the mean
     friend auto operator<=>(const Arrival&,
                             const Arrival&) = default;  // NOLINT(modernize-use-nullptr): not its text
   };
@@ -128,7 +131,7 @@
   }
 
   void start_endpoint() {
-    pass(kSteadyS, kSteadyLoad, Endpoints::Answer);
+    run_traffic(kSteadyS, kSteadyLoad, Endpoints::Answer);
     endpoint_started_s_ = now_s();
     for (Instance& instance : instances_) {
       instance.host->change_endpoint(endpoint("a0").online_since(endpoint_started_s_));
@@ -141,14 +144,14 @@
     return random_state_;
   }
 
-  // Of the next request, against the mean; 0 where work is not known.
+  // The work of the next request relative to the mean; 0 if unknown.
   double next_relative_work() {
     if (scenario_.disturbance != Disturbance::UnequalWork) return 0;
     return next_random() / 7 % 10 == 0 ? 4 : 2.0 / 3;
   }
 
-  // `load` is a part of what all endpoints together can serve.
-  void pass(double seconds, double load, Endpoints endpoints) {
+  // Runs traffic for `seconds`. `load` is relative to what all endpoints together can serve.
+  void run_traffic(double seconds, double load, Endpoints endpoints) {
     double end_s = now_s() + seconds - kStepS / 2;
     while (now_s() < end_s) {
       requests_due_ += load * scenario_.requests_per_endpoint_s * scenario_.endpoints * kStepS;
@@ -173,7 +176,7 @@
     }
   }
 
-  // The share of the instances that restarts within a step.
+  // Restarts as many instances as are due in one step, so that all restart within a second.
   void restart_some() {
     restarts_due_ += kStepS * double(instances_.size());
     for (; restarts_due_ >= 1; restarts_due_ -= 1) {
@@ -185,7 +188,8 @@
     }
   }
 
-  void hand_over() {
+  // Starts a successor with the learned state of each instance; the predecessors keep serving.
+  void start_successors() {
     std::size_t predecessors = instances_.size();
     for (std::size_t i = 0; i < predecessors; ++i) {
       Instance successor = start_instance(instances_[i].index, now_s());
@@ -204,7 +208,7 @@
     return allowed + (allowed < kManyAttempts ? 3 * deviation + 3 : 2 * deviation + 2);
   }
 
-  // All attempts at the endpoint during its slow start, in the order of their times.
+  // All attempts sent to the endpoint during its slow start, by time.
   std::vector<Arrival> arrivals_at_started_endpoint() const {
     std::vector<Arrival> arrivals;
     for (const Instance& instance : instances_) append_arrivals(*instance.host, arrivals);
--- a/testing/policy/steady_traffic.h
+++ b/testing/policy/steady_traffic.h
@@ -1,5 +1,5 @@
-// Requests to a policy at an even pace, and endpoints that answer as a function says. Hours pass without
-// waiting: the time is the fake host's.
+// Sends requests to a policy at a constant rate, and answers attempts as a given function decides. It uses
+// the simulated time of the fake host, so that tests can cover hours.
 #pragma once
 
 #include <algorithm>
@@ -19,11 +19,12 @@
   Outcome outcome = Outcome::Delivered;
 };
 
-// From 70% to 130% of `mean_s`, by the request: the same in each run.
+// A response time from 70% to 130% of `mean_s`, derived from the request id: the same in each run.
 inline double spread_response_time_s(const SentAttempt& attempt, double mean_s) {
   return mean_s * (0.7 + 0.6 * double(attempt.request * 2654435761u % 1000) / 1000);
 }
 
+// Delivered after 0.2 s on average.
 inline EndpointAnswer usual_answer(const SentAttempt& attempt) {
   constexpr double kMeanS = 0.2;
   return {spread_response_time_s(attempt, kMeanS)};
@@ -35,7 +36,7 @@
 
   explicit SteadyTraffic(FakeHost& host) : host_(host) {}
 
-  // Safe requests that are due in 1 s.
+  // Sends safe requests with a remaining deadline of 1 s.
   void run_for(double seconds, double requests_per_s, const AnswerFunction& answer) {
     double next_request_s = host_.now_s();
     double end_s = host_.now_s() + seconds;
@@ -47,7 +48,7 @@
       host_.run_for(kStepS);
     }
   }
-  // No requests for `seconds`, after 5 s in which the pending ones end.
+  // Answers pending requests for 5 s, then lets `seconds` pass without any request.
   void stop_for(double seconds, const AnswerFunction& answer) {
     double end_s = host_.now_s() + kSettleS;
     while (host_.now_s() < end_s) {
@@ -62,15 +63,15 @@
   static constexpr double kSettleS = 5;
 
   struct DueAnswer {
-    std::size_t attempt = 0;  // index of what the host sent
+    std::size_t attempt = 0;  // index in FakeHost::sent()
     Outcome outcome = Outcome::Delivered;
   };
 
   void answer_attempts(const AnswerFunction& answer) {
-    for (; seen_ < host_.sent().size(); ++seen_) {
-      EndpointAnswer next = answer(host_.sent()[seen_]);
+    for (; scheduled_ < host_.sent().size(); ++scheduled_) {
+      EndpointAnswer next = answer(host_.sent()[scheduled_]);
       if (next.response_time_s > 0) {
-        due_.emplace(host_.now_s() + next.response_time_s, DueAnswer{seen_, next.outcome});
+        due_.emplace(host_.now_s() + next.response_time_s, DueAnswer{scheduled_, next.outcome});
       }
     }
     while (!due_.empty() && due_.begin()->first <= host_.now_s()) {
@@ -84,8 +85,8 @@
   }
 
   FakeHost& host_;
-  std::size_t seen_ = 0;  // attempts
-  std::multimap<double, DueAnswer> due_;
+  std::size_t scheduled_ = 0;             // number of attempts that were passed to the answer function
+  std::multimap<double, DueAnswer> due_;  // by time
 };
 
 }  // namespace puffinvane::test
