--- a/src/policy/completion_rate_test.cpp
+++ b/src/policy/completion_rate_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(rate.best_per_s(), 0);
 }
 
-TEST(CompletionRate, IsTakenOverEightSeconds) {
+TEST(CompletionRate, IsMeasuredOverEightSeconds) {
   CompletionRate rate;
 
   run_ticks(rate, 80, 2);
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(rate.recent_per_s(), 20);
 }
 
-TEST(CompletionRate, IsTakenOverTwoSecondsAtLeast) {
+TEST(CompletionRate, IsMeasuredOverAtLeastTwoSeconds) {
   CompletionRate rate;
 
   run_ticks(rate, 1, 10);
@@ -37,7 +37,7 @@
   EXPECT_DOUBLE_EQ(rate.recent_per_s(), 5);
 }
 
-TEST(CompletionRate, BestOutlastsTheRecentRate) {
+TEST(CompletionRate, BestRateOutlastsTheRecentRate) {
   CompletionRate rate;
   run_ticks(rate, 80, 2);
 
@@ -47,7 +47,7 @@
   EXPECT_DOUBLE_EQ(rate.best_per_s(), 20);
 }
 
-TEST(CompletionRate, ForgetsTheBestRateAfterFortySeconds) {
+TEST(CompletionRate, DropsTheBestRateAfterFortySeconds) {
   CompletionRate rate;
   run_ticks(rate, 80, 2);
 
@@ -56,7 +56,7 @@
   EXPECT_DOUBLE_EQ(rate.best_per_s(), 0);
 }
 
-TEST(CompletionRate, AddsAShareOfImportedRates) {
+TEST(CompletionRate, AddsImportedRatesScaledByTheShare) {
   CompletionRate rate;
 
   rate.add_imported(std::deque<double>(80, 4), 0.5);
--- a/src/policy/endpoint_selection_behavior_test.cpp
+++ b/src/policy/endpoint_selection_behavior_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoint gets the first attempt of a request: lowest depth, ties, weights, keys and zones.
+// Which endpoint is selected for the first attempt of a request: by depth, ties, weights, keys and zones.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -20,7 +20,8 @@
   EXPECT_EQ(host.endpoints_used_from(0).size(), 3U);
 }
 
-// Reports are old by the time that they arrive: all instances would follow them to the same endpoint.
+// Reported loads are outdated on arrival. If the selection followed them, all instances would send to the
+// same endpoint at once.
 TEST(EndpointSelection, FollowsOwnDepthWhateverEndpointsReport) {
   FakeHost host{deployment().reporting_load()};
   host.list_ready_endpoints(3);
@@ -47,7 +48,7 @@
   EXPECT_GT(host.attempts_sent_to("large"), 240);
 }
 
-TEST(EndpointSelection, SendsHeavyRequestsRatherToLargeEndpoint) {
+TEST(EndpointSelection, PrefersLargeEndpointForHeavyRequests) {
   FakeHost host{deployment().reporting_load()};
   host.list_endpoints({endpoint("small"), endpoint("large").with_weight(3)});
 
@@ -60,7 +61,7 @@
   EXPECT_LT(host.attempts_sent_to("small"), 8);
 }
 
-TEST(EndpointSelection, SendsSmallEndpointLessThanLargeOneWithoutReports) {
+TEST(EndpointSelection, SendsLessToSmallEndpointWithoutLoadReports) {
   FakeHost host{deployment()};
   host.list_endpoints({endpoint("large").with_weight(3), endpoint("small")});
 
@@ -70,7 +71,7 @@
   EXPECT_GT(host.attempts_sent_to("large"), 2 * host.attempts_sent_to("small"));
 }
 
-// Instances with different seeds, each of which has served requests for one key and then for eight others.
+// Two instances with different seeds. Each serves requests for one key, and then for eight other keys.
 class KeyAffinity : public testing::Test {
  protected:
   static constexpr std::uint64_t kSeeds[] = {3, 4};
@@ -121,7 +122,8 @@
   }
 }
 
-TEST(EndpointSelection, CrossesPricedZonesForShorterQueuesOnly) {
+// Another zone has a cost, but is used once the queue in the own zone is longer than that cost.
+TEST(EndpointSelection, UsesOtherZoneOnlyForShorterQueue) {
   FakeHost host{deployment().with_cross_zone_price(0.02).in_zone("here")};
   host.list_endpoints({endpoint("near"), endpoint("far").in_zone("there").in_cell(2)});
 
--- a/src/policy/endpoint_selection_test.cpp
+++ b/src/policy/endpoint_selection_test.cpp
@@ -42,6 +42,7 @@
   std::optional<EndpointIndex> select(const RequestState& request) {
     return selection_.select(request, EndpointSelection::Strategy::LowestDepth, kNow, random_);
   }
+  // A request whose only attempt went to this endpoint and has ended.
   static RequestState attempted_at(EndpointIndex index) {
     RequestState request;
     request.deadline = kNow + 10;
@@ -91,19 +92,19 @@
   EXPECT_EQ(select({}), std::nullopt);
 }
 
-TEST_F(EndpointSelectionTest, RisksNoUnsafeRequestAtARecoveringEndpoint) {
+TEST_F(EndpointSelectionTest, SendsNoUnsafeRequestToARecoveringEndpoint) {
   EndpointIndex recovering = list("recovering");
   set_health(recovering, Health::Recovering);
   endpoints_[recovering].whole.ejection.recovery_limit = 1;
   RequestState safe;
   RequestState unsafe;
-  unsafe.class_index = 4;
+  unsafe.class_index = 4;  // "mutating"
 
   EXPECT_EQ(select(safe), recovering);
   EXPECT_EQ(select(unsafe), std::nullopt);
 }
 
-TEST_F(EndpointSelectionTest, DoesNotRepeatAnEndpoint) {
+TEST_F(EndpointSelectionTest, DoesNotSelectTheSameEndpointAgain) {
   EndpointIndex first = list("first");
   EndpointIndex second = list("second");
 
@@ -128,7 +129,7 @@
   EXPECT_EQ(select({}), starting);
 }
 
-TEST_F(EndpointSelectionTest, AHealthyEndpointThatWasNotMetIsARetryTarget) {
+TEST_F(EndpointSelectionTest, AHealthyEndpointWithoutAttemptIsARetryTarget) {
   EndpointIndex first = list("first");
   EXPECT_FALSE(selection_.has_retry_target(attempted_at(first), kNow));
 
@@ -137,7 +138,7 @@
   EXPECT_TRUE(selection_.has_retry_target(attempted_at(first), kNow));
 }
 
-TEST_F(EndpointSelectionTest, NoRetryIsWorthItRightBeforeTheDeadline) {
+TEST_F(EndpointSelectionTest, NoRetryRightBeforeTheDeadline) {
   EndpointIndex first = list("first");
   list("second");
   RequestState request = attempted_at(first);
--- a/src/policy/endpoint_statistics_behavior_test.cpp
+++ b/src/policy/endpoint_statistics_behavior_test.cpp
@@ -1,4 +1,4 @@
-// What the answers of an endpoint say of it, and how long statistics are kept.
+// How the responses of an endpoint affect its selection, and how long its statistics are kept.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -22,8 +22,8 @@
   EXPECT_LT(host.attempts_sent_to("a0", slow_since_s), 5);
 }
 
-// While the whole subset is in slow start, other endpoints get attempts; their statistics are released once
-// they have been unused for a while.
+// While all endpoints of the subset are in slow start, endpoints outside of it receive attempts. Their
+// statistics must be released after they have been unused for a while, or memory use would grow.
 TEST(EndpointStatistics, ReleasesStatisticsOfUnusedEndpointsOutsideSubset) {
   FakeHost host{instance_of(kSmallFleet)};
   host.list_ready_endpoints(kSmallFleet.endpoints);
--- a/src/policy/endpoint_table_behavior_test.cpp
+++ b/src/policy/endpoint_table_behavior_test.cpp
@@ -1,4 +1,5 @@
-// Which endpoints get attempts as lists change, and what long and changing lists cost.
+// Which endpoints receive attempts when the endpoint list changes, and how much memory long and changing
+// lists need.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -48,7 +49,7 @@
   EXPECT_EQ(host.attempts_sent_to("a1", listed_at_s), 30);
 }
 
-TEST(EndpointTable, SendsNothingToMissingEndpointWhereListsBind) {
+TEST(EndpointTable, SendsNothingToMissingEndpointByDefault) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(2);
   host.list_ready_endpoints(1);
@@ -58,7 +59,8 @@
   EXPECT_EQ(host.attempts_sent_to("a1"), 0);
 }
 
-// Settings in which only draining binds: "a1" was listed and then is missing, and served since.
+// Settings that allow attempts to unlisted endpoints. "a1" was listed, is missing from the next list, and 20
+// requests have been served since.
 class EndpointTableUsingUnlistedEndpoints : public testing::Test {
  protected:
   EndpointTableUsingUnlistedEndpoints() {
@@ -66,11 +68,11 @@
     host_.list_ready_endpoints(1);
     host_.serve_requests(20, 0.01);
   }
-  // The missing endpoint fails an attempt, which is retried; its ejection then ends.
+  // An attempt to the missing endpoint fails and is retried elsewhere. 20 s pass, longer than an ejection.
   void fail_attempt_at_missing_endpoint() {
-    constexpr int kMostRequests = 400;
+    constexpr int kMaxRequests = 400;
     host_.receive();
-    for (int i = 1; i < kMostRequests && host_.last_sent().endpoint != "a1"; ++i) {
+    for (int i = 1; i < kMaxRequests && host_.last_sent().endpoint != "a1"; ++i) {
       host_.end_attempt(host_.last_sent(), Outcome::Delivered);
       host_.receive();
     }
@@ -108,8 +110,9 @@
   EXPECT_EQ(host_.attempts_sent_to("a1", changed_at_s), 0);
 }
 
-// The index of a removed endpoint is used again: an attempt at the old one is not one at the new one.
-TEST(EndpointTable, DoesNotTakeNewEndpointForRemovedOneWithSameIndex) {
+// The index of a removed endpoint is reused. An attempt sent to the old endpoint must not count as one sent
+// to the endpoint that has the index now.
+TEST(EndpointTable, DoesNotConfuseNewEndpointWithRemovedOneOfSameIndex) {
   FakeHost host{deployment()};
   host.list_endpoints({endpoint("old")});
   RequestId request = host.receive(request_of_class("tagged"));
@@ -143,7 +146,8 @@
   EXPECT_GT(host.attempts_sent_to("three"), 1);
 }
 
-// Endpoint names are new with each deployment: ten thousand replacements must cost what a hundred do.
+// Endpoint names change with each deployment of the service: memory must not grow with the number of
+// endpoints that were ever listed.
 TEST(EndpointTable, KeepsNoMemoryForRemovedEndpoints) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(4);
@@ -171,7 +175,8 @@
 
 std::size_t bytes_in_use() { return mallinfo2().uordblks + mallinfo2().hblkhd; }
 
-// What one instance keeps that has listed all endpoints of the fleet and served 200 requests.
+// Memory and statistics that one instance keeps after it got the list of the whole fleet and served 200
+// requests.
 ListCost cost_of_list(const FleetSize& fleet) {
   std::size_t bytes_before = bytes_in_use();
   FakeHost host{instance_of(fleet)};
@@ -195,19 +200,19 @@
   }
 }
 
-// The acceptance bound is 4 MB for each thousand endpoints, in the whole process.
+// The acceptance bound for the whole process is 4 MB per thousand endpoints.
 TEST(EndpointTable, KeepsLittleMemoryForEndpointsNotInUse) {
-  constexpr double kBytesForEachEndpoint = 1500;
+  constexpr double kMaxBytesPerEndpoint = 1500;
 
   double small = cost_of_list(kSmallFleet).bytes;
   double largest = cost_of_list(kLargestFleet).bytes;
 
-  EXPECT_LT(largest, small + kBytesForEachEndpoint * (kLargestFleet.endpoints - kSmallFleet.endpoints));
+  EXPECT_LT(largest, small + kMaxBytesPerEndpoint * (kLargestFleet.endpoints - kSmallFleet.endpoints));
 }
 
-TEST(EndpointTable, AllocatesByWhatChangesRatherThanByLengthOfList) {
+TEST(EndpointTable, AllocationsOfAListChangeDoNotDependOnLengthOfList) {
   constexpr std::size_t kChanges = 100;
-  constexpr std::size_t kMostBytesForEachChange = 4096;
+  constexpr std::size_t kMaxBytesPerChange = 4096;
   FakeHost host{instance_of(kLargestFleet)};
   host.list_ready_endpoints(kLargestFleet.endpoints);
   host.serve_requests(50, 0.02);
@@ -218,7 +223,7 @@
     host.change_endpoint(endpoint("a" + std::to_string(i)).removed());
   }
 
-  EXPECT_LT(allocated_bytes() - allocated_before, 2 * kChanges * kMostBytesForEachChange);
+  EXPECT_LT(allocated_bytes() - allocated_before, 2 * kChanges * kMaxBytesPerChange);
 }
 
 }  // namespace
--- a/src/policy/endpoint_table_test.cpp
+++ b/src/policy/endpoint_table_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(endpoints.listed_count(), 2);
 }
 
-TEST(EndpointTable, ReportsRelistedEndpointsOnce) {
+TEST(EndpointTable, ReportsNewlyListedEndpointsOnce) {
   EndpointTable endpoints(kClassCount);
   Endpoint& endpoint = endpoints.find_or_add("a");
   set_health(endpoints, endpoint, Health::Healthy);
@@ -104,7 +104,7 @@
   EXPECT_EQ(endpoints.tracked(), std::set<EndpointIndex>{endpoint.index});
 }
 
-TEST(EndpointTable, UntrackedEndpointCountsAsNew) {
+TEST(EndpointTable, UntrackedEndpointIsTreatedAsNew) {
   EndpointTable endpoints(kClassCount);
   Endpoint& endpoint = endpoints.find_or_add("a");
   set_health(endpoints, endpoint, Health::Healthy);
--- a/src/policy/fleet_load_test.cpp
+++ b/src/policy/fleet_load_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_EQ(fleet_load_.admitted_share(), 1);
 }
 
-TEST_F(FleetLoadTest, AdmitsLessWhileReportedCoresAreFull) {
+TEST_F(FleetLoadTest, AdmitsLessAtFullReportedCpuUtilization) {
   add_report("a", load_with_cpu(1), kNow);
   fleet_load_.record_arrival(kNow);
 
@@ -63,7 +63,7 @@
   EXPECT_EQ(fleet_load_.admitted_share(), 1);
 }
 
-TEST_F(FleetLoadTest, AdmitsATenthAtLeast) {
+TEST_F(FleetLoadTest, AdmitsAtLeastOneTenth) {
   add_report("a", load_with_cpu(50), kNow);
   fleet_load_.record_arrival(kNow);
 
@@ -74,7 +74,7 @@
   EXPECT_EQ(fleet_load_.admitted_share(), 0.1);
 }
 
-TEST_F(FleetLoadTest, AdmitsLessWhileOwnResponsesLag) {
+TEST_F(FleetLoadTest, AdmitsLessAtHighMeasuredLatency) {
   add_report("a", load_with_cpu(0.1), kNow);
   fleet_load_.record_arrival(kNow);
   for (int response = 0; response < 4; ++response) {
@@ -101,7 +101,7 @@
   UnreportedFleetLoadTest() : FleetLoadTest(test::deployment().as_instance(0, 5)) {}
 };
 
-TEST_F(UnreportedFleetLoadTest, TakesOwnArrivalsForThoseOfEachInstance) {
+TEST_F(UnreportedFleetLoadTest, EstimatesRateFromOwnArrivalsAndInstanceCount) {
   for (int request = 0; request < 40; ++request) {
     fleet_load_.record_arrival(kNow + request * 0.1);
   }
--- a/src/policy/latency_tracker_test.cpp
+++ b/src/policy/latency_tracker_test.cpp
@@ -9,7 +9,7 @@
 
 const Deployment kDeployment = test::deployment().with_latency_objective(2);
 
-TEST(LatencyTracker, HedgesAtHalfTheObjectiveWhileSamplesAreFew) {
+TEST(LatencyTracker, HedgeThresholdIsHalfOfTheObjectiveWithFewSamples) {
   LatencyTracker latencies(kDeployment);
 
   for (int sample = 0; sample < 19; ++sample) {
@@ -19,7 +19,7 @@
   EXPECT_EQ(latencies.hedge_threshold_s(0), 1);
 }
 
-TEST(LatencyTracker, HedgesAtThe95thPercentile) {
+TEST(LatencyTracker, HedgeThresholdIsThe95thPercentile) {
   LatencyTracker latencies(kDeployment);
 
   for (int sample = 0; sample <= 100; ++sample) {
@@ -29,7 +29,7 @@
   EXPECT_DOUBLE_EQ(latencies.hedge_threshold_s(0), 0.95);
 }
 
-TEST(LatencyTracker, KeepsRequestClassesApart) {
+TEST(LatencyTracker, RecordsRequestClassesSeparately) {
   LatencyTracker latencies(kDeployment);
 
   latencies.record_latency(0, 0.1);
@@ -38,13 +38,13 @@
   EXPECT_EQ(latencies.latencies(1).size(), 0U);
 }
 
-TEST(LatencyTracker, CalmLatencyIsAQuarterOfTheObjectiveWithoutSamples) {
+TEST(LatencyTracker, UnloadedLatencyIsAQuarterOfTheObjectiveWithoutSamples) {
   LatencyTracker latencies(kDeployment);
 
   EXPECT_EQ(latencies.unloaded_latency_s(0), 0.5);
 }
 
-TEST(LatencyTracker, CalmLatencyIsTheLowestMeanKept) {
+TEST(LatencyTracker, UnloadedLatencyIsTheLowestRecordedMean) {
   LatencyTracker latencies(kDeployment);
   for (int sample = 0; sample < 20; ++sample) {
     latencies.record_latency(0, 0.25);
@@ -58,7 +58,7 @@
   EXPECT_EQ(latencies.unloaded_latency_s(0), 0.25);
 }
 
-TEST(LatencyTracker, ForgetsACalmMeanAfterFortySeconds) {
+TEST(LatencyTracker, DropsAMeanAfterFortySeconds) {
   LatencyTracker latencies(kDeployment);
   for (int sample = 0; sample < 20; ++sample) {
     latencies.record_latency(0, 0.25);
@@ -75,7 +75,7 @@
   EXPECT_EQ(latencies.unloaded_latency_s(0), 0.75);
 }
 
-TEST(LatencyTracker, RestoresTheThresholdOfExportedSamples) {
+TEST(LatencyTracker, RestoresThresholdAndUnloadedLatency) {
   LatencyTracker latencies(kDeployment);
 
   latencies.restore(1, std::deque<double>(20, 0.3), {0.2});
--- a/src/policy/learned_state_behavior_test.cpp
+++ b/src/policy/learned_state_behavior_test.cpp
@@ -1,4 +1,4 @@
-// What a policy that takes another's place has learned from it.
+// What a policy learns from the policy that it replaces.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -11,21 +11,21 @@
 
 constexpr int kRequests = 8;
 
-// A predecessor that has ejected "a0", and two hosts of the same age with the same endpoints: a successor
-// with its learned state and a stranger without.
+// A predecessor has ejected "a0". Two new policies get the same endpoint list: `successor_` imports the
+// learned state of the predecessor, `untrained_` does not.
 class LearnedStateOfPredecessor : public testing::Test {
  protected:
   LearnedStateOfPredecessor() {
     eject_a0(predecessor_);
     attempts_to_a0_before_ejection_ = predecessor_.attempts_sent_to("a0", predecessor_.now_s());
-    for (FakeHost* host : {&successor_, &stranger_}) {
+    for (FakeHost* host : {&successor_, &untrained_}) {
       host->set_now(predecessor_.now_s());
       host->list_ready_endpoints(4);
     }
     successor_.import_learned_state_of(predecessor_, 1);
   }
 
-  // Returns how many of the host's first requests went to "a0"; all are answered at once.
+  // Receives the first requests of the host, which are all answered at once. Returns how many went to "a0".
   static int serve_first_requests(FakeHost& host) {
     host.receive_many(kRequests);
     int sent_to_a0 = host.attempts_sent_to("a0");
@@ -35,7 +35,7 @@
 
   FakeHost predecessor_{deployment()};
   FakeHost successor_{deployment()};
-  FakeHost stranger_{deployment()};
+  FakeHost untrained_{deployment()};
   int attempts_to_a0_before_ejection_ = 0;
 
  private:
@@ -53,11 +53,11 @@
   ASSERT_GT(attempts_to_a0_before_ejection_, 0);
 
   EXPECT_EQ(serve_first_requests(successor_), 0);
-  EXPECT_GT(serve_first_requests(stranger_), 0);
+  EXPECT_GT(serve_first_requests(untrained_), 0);
 }
 
-TEST_F(LearnedStateOfPredecessor, HedgesByInheritedLatencies) {
-  for (FakeHost* host : {&successor_, &stranger_}) {
+TEST_F(LearnedStateOfPredecessor, HedgesByImportedLatencies) {
+  for (FakeHost* host : {&successor_, &untrained_}) {
     serve_first_requests(*host);
     RequestId late = host->receive();
     host->run_for(0.1);
--- a/src/policy/learned_state_test.cpp
+++ b/src/policy/learned_state_test.cpp
@@ -9,7 +9,7 @@
 namespace puffinvane {
 namespace {
 
-// The modules of one policy.
+// The modules of a policy that learned state is exported from and imported into.
 struct Modules {
   explicit Modules(Deployment settings = test::deployment()) : deployment(std::move(settings)) {}
 
@@ -47,7 +47,7 @@
   EXPECT_EQ(state.started_at_s, 7);
 }
 
-TEST(LearnedState, ImportsWhatWasExported) {
+TEST(LearnedState, ImportEqualsExport) {
   Modules earlier;
   Endpoint& endpoint = earlier.list("a", 50);
   earlier.endpoints.track(endpoint.index);
@@ -70,7 +70,7 @@
   EXPECT_EQ(imported.lateness, exported.lateness);
 }
 
-TEST(LearnedState, ImportsNothingOfARestartedEndpoint) {
+TEST(LearnedState, IgnoresARestartedEndpoint) {
   Modules earlier;
   earlier.endpoints.track(earlier.list("a", 50).index);
   Modules later;
@@ -81,7 +81,7 @@
   EXPECT_EQ(later.endpoints.tracked().size(), 0U);
 }
 
-TEST(LearnedState, ImportsNothingOfAnUnknownEndpoint) {
+TEST(LearnedState, IgnoresAnUnknownEndpoint) {
   Modules earlier;
   earlier.endpoints.track(earlier.list("a").index);
   Modules later;
@@ -91,7 +91,7 @@
   EXPECT_EQ(later.endpoints.find("a"), std::nullopt);
 }
 
-TEST(LearnedState, ImportsClassesUpToTheFirstThatDiffers) {
+TEST(LearnedState, ImportsClassesUpToTheFirstWithAnotherName) {
   Modules earlier;
   earlier.latencies.record_latency(0, 0.25);
   earlier.latencies.record_latency(1, 0.25);
@@ -105,7 +105,7 @@
   EXPECT_EQ(later.latencies.latencies(1).size(), 0U);
 }
 
-TEST(LearnedState, ImportsAShareOfTheRates) {
+TEST(LearnedState, ScalesCompletionRatesByTheShare) {
   Modules earlier;
   for (int tick = 0; tick < 80; ++tick) {
     earlier.completions.record_response();
--- a/src/policy/outlier_ejection_behavior_test.cpp
+++ b/src/policy/outlier_ejection_behavior_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoints, and which request classes at an endpoint, are ejected, and how they return.
+// Which endpoints, and which request classes at an endpoint, are ejected, and how they recover.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -15,7 +15,7 @@
 
 constexpr std::array kAllEndpoints = {"a0", "a1", "a2", "a3"};
 
-// Serves `count` requests, with retries; all endpoints but "a0" fail those of the class "read".
+// Serves `count` requests, with retries. All endpoints except "a0" fail requests of the class "read".
 void serve_where_most_fail_reads(FakeHost& host, const std::string& request_class, int count) {
   for (int i = 0; i < count; ++i) {
     RequestId request = host.receive(request_of_class(request_class));
@@ -43,7 +43,7 @@
   EXPECT_LE(host.sent().size() - sent_before, 12U);
 }
 
-TEST(OutlierEjection, KeepsEndpointThatFailsOneRequestClassForOthers) {
+TEST(OutlierEjection, KeepsEndpointForRequestClassesThatItDoesNotFail) {
   FakeHost host{deployment().reporting_load()};
   host.list_ready_endpoints(4);
   for (int i = 0; i < 10; ++i) {
@@ -60,7 +60,8 @@
   EXPECT_GT(host.attempts_sent_to("a3", failed_at_s), 2);
 }
 
-// A stalled process finds all attempts late at once: that says nothing of their endpoints.
+// After a stall of this process all attempts in flight look late, though their endpoints may have answered in
+// time.
 TEST(OutlierEjection, EjectsNoEndpointAfterStallOfOwnProcess) {
   FakeHost host{deployment().reporting_load()};
   host.list_ready_endpoints(4);
@@ -77,7 +78,7 @@
   for (const char* name : kAllEndpoints) EXPECT_EQ(host.attempts_sent_to(name, stalled_at_s), 2) << name;
 }
 
-// An endpoint, "a0", that hung until its ejection, has answered late, and is recovering.
+// The endpoint "a0" hangs and is ejected; recovery begins once it answers the attempt `hung_`.
 class RecoveryRamp : public testing::Test {
  protected:
   RecoveryRamp() {
@@ -98,7 +99,7 @@
   EXPECT_EQ(host_.attempts_sent_to("a0", ejected_at_s_), 0);
 }
 
-TEST_F(RecoveryRamp, DoublesAttemptsInFlightWithEachGoodAnswer) {
+TEST_F(RecoveryRamp, DoublesAttemptsInFlightWithEachDelivery) {
   constexpr std::size_t kRequests = 20;
   host_.end_attempt(hung_, Outcome::Delivered);
 
@@ -109,13 +110,13 @@
 
     EXPECT_EQ(host_.attempts_sent_to("a0", round_began_s), allowed);
 
-    // One answer of the recovering endpoint is good; the other attempts there are cancelled.
+    // The recovering endpoint delivers one attempt; its other attempts are cancelled.
     host_.run_for(0.05);
-    bool has_good_answer = false;
+    bool has_delivered = false;
     for (std::size_t i = first; i < first + kRequests; ++i) {
       bool is_recovering = host_.sent()[i].endpoint == "a0";
-      if (!is_recovering || !has_good_answer) host_.end_attempt(host_.sent()[i], Outcome::Delivered);
-      has_good_answer = has_good_answer || is_recovering;
+      if (!is_recovering || !has_delivered) host_.end_attempt(host_.sent()[i], Outcome::Delivered);
+      has_delivered = has_delivered || is_recovering;
     }
     for (std::size_t i = first; i < first + kRequests; ++i) {
       if (host_.sent()[i].endpoint == "a0") host_.end_attempt(host_.sent()[i], Outcome::Cancelled);
@@ -123,15 +124,15 @@
   }
 }
 
-// Serves requests for `seconds`, with retries, and returns how many attempts went to "a0", which refuses
-// connections if `outcome_at_a0` is ConnectFailed.
+// Serves requests for `seconds`, with retries. Attempts to "a0" end with `outcome_at_a0`, all others are
+// delivered. Returns the number of attempts to "a0".
 int serve_and_count_attempts_to_a0(FakeHost& host, double seconds, Outcome outcome_at_a0) {
-  constexpr int kMostAttempts = 4;
+  constexpr int kMaxAttempts = 4;
   int attempts_to_a0 = 0;
   double end_s = host.now_s() + seconds;
   while (host.now_s() < end_s) {
     RequestId request = host.receive();
-    for (int i = 0; i < kMostAttempts && !host.is_concluded(request); ++i) {
+    for (int i = 0; i < kMaxAttempts && !host.is_concluded(request); ++i) {
       SentAttempt attempt = host.last_sent();
       bool is_a0 = attempt.endpoint == "a0";
       attempts_to_a0 += is_a0 ? 1 : 0;
@@ -143,20 +144,21 @@
   return attempts_to_a0;
 }
 
-TEST(OutlierEjection, TestsEndpointLaterIfItsLastAbsencesWereLong) {
+// After long outages the first ejection lasts longer, so fewer attempts are lost in the next outage.
+TEST(OutlierEjection, EjectsForLongerAfterLongOutages) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(4);
   serve_and_count_attempts_to_a0(host, 5, Outcome::Delivered);
 
-  std::array<int, 4> attempts_in_absence{};
-  for (int& attempts : attempts_in_absence) {
+  std::array<int, 4> attempts_in_outage{};
+  for (int& attempts : attempts_in_outage) {
     attempts = serve_and_count_attempts_to_a0(host, 3, Outcome::ConnectFailed);
     serve_and_count_attempts_to_a0(host, 5, Outcome::ConnectFailed);
     serve_and_count_attempts_to_a0(host, 12, Outcome::Delivered);
   }
 
-  EXPECT_GE(attempts_in_absence[0], 2);
-  EXPECT_EQ(attempts_in_absence[3], 1);
+  EXPECT_GE(attempts_in_outage[0], 2);
+  EXPECT_EQ(attempts_in_outage[3], 1);
 }
 
 TEST(OutlierEjection, EjectsNoEndpointForIdleConnectionsFoundClosed) {
@@ -195,8 +197,8 @@
   EXPECT_GE(used_lately.size(), 2U);
 }
 
-// Errors that all endpoints return come from what they share, behind them.
-TEST(OutlierEjection, EjectsNoEndpointForErrorsThatAllReturn) {
+// Errors that all endpoints return are caused by a shared dependency, not by the endpoints.
+TEST(OutlierEjection, EjectsNoEndpointForErrorsOfAllEndpoints) {
   FakeHost host{deployment()};
   host.list_ready_endpoints(4);
   for (int i = 0; i < 80; ++i) {
@@ -211,8 +213,8 @@
   for (const char* name : kAllEndpoints) EXPECT_EQ(host.attempts_sent_to(name, failed_at_s), 1) << name;
 }
 
-// The requests lost in 8 s during which one endpoint of four hangs, after 30 s of traffic and `idle_s`
-// without any.
+// Serves 30 s of traffic, then none for `idle_s`, then 8 s of traffic while one of four endpoints hangs.
+// Returns the number of requests rejected or failed in those 8 s.
 std::size_t requests_lost_to_hanging_endpoint(double idle_s) {
   auto answer = [](const SentAttempt& attempt) {
     return attempt.endpoint == "a0" ? EndpointAnswer{0.9, Outcome::TimedOut} : usual_answer(attempt);
@@ -236,10 +238,12 @@
   EXPECT_LE(lost_after_idle_hours, lost_after_traffic + kTolerance);
 }
 
-// The acceptance bound: an instance that rejects all that it gets makes an attempt within this time.
-constexpr double kMostSecondsWithoutAttempt = 4;
+// The acceptance bound: an instance that rejects all its requests must still send an attempt within this
+// time, as it could not notice a recovery of the endpoints otherwise.
+constexpr double kMaxSecondsWithoutAttempt = 4;
 
-// The longest time without an attempt in 40 s during which every attempt ends so, under steady requests.
+// Returns the longest time without an attempt in 40 s of steady traffic in which every attempt is answered by
+// `answer`.
 double longest_time_without_attempt(const EndpointAnswer& answer, int endpoint_count, double requests_per_s) {
   FakeHost host{deployment().with_latency_objective(0.5)};
   host.list_ready_endpoints(endpoint_count);
@@ -257,7 +261,7 @@
   return std::max(longest_s, failing_until_s - last_attempt_s);
 }
 
-TEST(OutlierEjection, AttemptsGoOnWhileEveryEndpointFails) {
+TEST(OutlierEjection, SendsAttemptsWhileEveryEndpointFails) {
   constexpr EndpointAnswer kHangs{1, Outcome::TimedOut};
   constexpr EndpointAnswer kRefuses{0.01, Outcome::ConnectFailed};
   constexpr EndpointAnswer kBreaks{0.01, Outcome::Broken};
@@ -266,7 +270,7 @@
     for (int endpoint_count : {1, 2, 4, 12}) {
       for (double requests_per_s : {10.0, 30.0, 100.0}) {
         EXPECT_LT(longest_time_without_attempt(answer, endpoint_count, requests_per_s),
-                  kMostSecondsWithoutAttempt)
+                  kMaxSecondsWithoutAttempt)
             << "outcome " << static_cast<int>(answer.outcome) << ", " << endpoint_count << " endpoints, "
             << requests_per_s << " requests a second";
       }
@@ -274,8 +278,9 @@
   }
 }
 
-// Errors that only requests of one class get, at every endpoint, with no tier behind them.
-TEST(OutlierEjection, AttemptsOfARequestClassGoOnWhileEveryEndpointFailsIt) {
+// Every endpoint returns errors to requests of one class only, and no tier behind the endpoints could have
+// caused them.
+TEST(OutlierEjection, SendsAttemptsOfARequestClassWhileEveryEndpointFailsIt) {
   constexpr double kFailingS = 40;
   constexpr double kPauseS = 0.02;
   for (int endpoint_count : {2, 4, 12}) {
@@ -299,7 +304,7 @@
     }
     longest_s = std::max(longest_s, host.now_s() - last_read_s);
 
-    EXPECT_LT(longest_s, kMostSecondsWithoutAttempt) << endpoint_count << " endpoints";
+    EXPECT_LT(longest_s, kMaxSecondsWithoutAttempt) << endpoint_count << " endpoints";
   }
 }
 
--- a/src/policy/outlier_ejection_test.cpp
+++ b/src/policy/outlier_ejection_test.cpp
@@ -36,7 +36,7 @@
     }
   }
 
-  // The hedge threshold is half of the objective, 1 s, as there are no samples.
+  // Without latency samples the hedge threshold is half of the objective: 1 s.
   Deployment deployment_ = test::deployment().with_latency_objective(2);
   EndpointTable endpoints_{deployment_.request_classes.size()};
   LatencyTracker latencies_{deployment_};
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(EjectionState, NextEjectionIsHalfOfThePastAbsences) {
+TEST(EjectionState, NextEjectionIsHalfOfThePastOutages) {
   Random random(1);
   EjectionState state;
   OutlierEjection::begin_ejection(state, 100, random);
@@ -140,7 +140,7 @@
   EXPECT_TRUE(ejection_.is_unresponsive(target, 101.1, 0));
 }
 
-TEST_F(OutlierEjectionTest, AResponseSinceTheAttemptShowsLife) {
+TEST_F(OutlierEjectionTest, AnEndpointThatRespondedSinceTheAttemptIsResponsive) {
   AttemptTarget target;
   target.in_flight.insert({100, 1, 0, 0});
 
@@ -149,14 +149,14 @@
   EXPECT_FALSE(ejection_.is_unresponsive(target, 105, 0));
 }
 
-TEST_F(OutlierEjectionTest, LatenessAcrossAStallDoesNotCount) {
+TEST_F(OutlierEjectionTest, WaitingTimeBeforeTheEndOfAStallDoesNotCount) {
   AttemptTarget target;
   target.in_flight.insert({100, 1, 0, 0});
 
   EXPECT_FALSE(ejection_.is_unresponsive(target, 105, 104));
 }
 
-TEST_F(OutlierEjectionTest, ThreeFailuresStandOutAmongHealthyNeighbours) {
+TEST_F(OutlierEjectionTest, ThreeFailuresAreMoreThanThoseOfHealthyEndpoints) {
   record(add("a"), 3, 0);
   record(add("b"), 0, 10);
 
@@ -170,7 +170,7 @@
   EXPECT_FALSE(ejection_.fails_more_than_others(endpoints_[*endpoints_.find("a")]));
 }
 
-TEST_F(OutlierEjectionTest, FailuresThatAllShowAreNotTheEndpointsOwn) {
+TEST_F(OutlierEjectionTest, EqualFailuresOfAllEndpointsAreNotMoreThanOthers) {
   record(add("a"), 5, 5);
   record(add("b"), 5, 5);
 
--- a/src/policy/response_history_test.cpp
+++ b/src/policy/response_history_test.cpp
@@ -25,13 +25,13 @@
   EXPECT_EQ(history.samples().front().completed_at_s, 4);
 }
 
-TEST(ResponseHistory, WithoutSamplesIsAsFastAsUsual) {
+TEST(ResponseHistory, SlownessIsOneWithoutSamples) {
   ResponseHistory history;
 
   EXPECT_EQ(history.slowness(100), 1);
 }
 
-TEST(ResponseHistory, CountsThreeUsualSamplesIntoSlowness) {
+TEST(ResponseHistory, AddsThreeSamplesOfUnloadedLatencyToSlowness) {
   ResponseHistory history;
   ResponseSample slow = sample_at(100);
   slow.latency_ratio = 5;
@@ -41,7 +41,7 @@
   EXPECT_EQ(history.slowness(100), (3 + 5) / 4.0);
 }
 
-TEST(ResponseHistory, ForgetsSlownessOfOldSamples) {
+TEST(ResponseHistory, IgnoresOldSamplesInSlowness) {
   ResponseHistory history;
   ResponseSample slow = sample_at(100);
   slow.latency_ratio = 5;
@@ -51,7 +51,7 @@
   EXPECT_EQ(history.slowness(115), 1);
 }
 
-TEST(ResponseHistory, LeavesFailuresOutOfSlowness) {
+TEST(ResponseHistory, IgnoresFailuresInSlowness) {
   ResponseHistory history;
   ResponseSample failed = sample_at(100);
   failed.latency_ratio = 0.01;
--- a/src/policy/slow_start_behavior_test.cpp
+++ b/src/policy/slow_start_behavior_test.cpp
@@ -1,5 +1,5 @@
-// Rule 4: an endpoint that has just started gets a growing share of a warm one's attempts, and all instances
-// together never overload it.
+// Rule 4: an endpoint that has just started receives a growing share of the attempts of a warm one, and is
+// never overloaded by all instances together.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -11,7 +11,7 @@
 namespace puffinvane::test {
 namespace {
 
-TEST(SlowStart, AllInstancesTogetherSendFreshEndpointLessThanWarmOne) {
+TEST(SlowStart, AllInstancesTogetherSendLessToFreshEndpointThanToWarmOne) {
   constexpr int kInstances = 6;
   int fresh_in_first_second = 0;
   int fresh = 0;
@@ -30,14 +30,14 @@
     warm += host.attempts_sent_to("a1", started_at_s);
   }
 
-  // The share begins at 0.2 and has grown to 0.36 after 2 of 10 s.
+  // The share grows from 0.2 to 1 in 10 s; after 2 s it is 0.36.
   EXPECT_GT(fresh, 0);
   EXPECT_LT(fresh, warm * 0.45);
-  const int warm_a_second = warm / 2;
-  EXPECT_LT(fresh_in_first_second, warm_a_second * 0.45);
+  const int warm_per_second = warm / 2;
+  EXPECT_LT(fresh_in_first_second, warm_per_second * 0.45);
 }
 
-TEST(SlowStart, InstanceThatHasJustStartedKeepsToBudget) {
+TEST(SlowStart, InstanceThatHasJustStartedKeepsWithinBudget) {
   FakeHost host{deployment().as_instance(0, 2)};
   host.list_endpoints({endpoint("warm"), endpoint("cold").online_since(host.now_s() - 0.5)});
 
@@ -46,7 +46,7 @@
   EXPECT_LT(host.attempts_sent_to("cold"), 0.45 * host.attempts_sent_to("warm"));
 }
 
-TEST(SlowStart, EndpointsThatAllHaveJustStartedGetAttempts) {
+TEST(SlowStart, EndpointsReceiveAttemptsIfAllHaveJustStarted) {
   FakeHost host{deployment()};
   double started_at_s = host.now_s() - 1;
   host.list_endpoints({endpoint("a0").online_since(started_at_s), endpoint("a1").online_since(started_at_s)});
@@ -60,8 +60,9 @@
   EXPECT_LT(host.sent().size(), 10U);
 }
 
-// However many instances share the endpoint, and whatever budget they saved in a pause: in the burst, while
-// the warm endpoints hang, no window holds more work than the rule allows.
+// A burst arrives while the warm endpoints hang, after a pause in which the instances could save up budget.
+// In no overload window may the starting endpoint get more work than the rule allows, whatever the number of
+// instances.
 class SlowStartBurst : public testing::TestWithParam<Disturbance> {};
 
 TEST_P(SlowStartBurst, StaysWithinRuleForSumOfAllInstances) {
@@ -109,14 +110,15 @@
                                          Disturbance::UnequalWork),
                          name_of);
 
-// The budget may not be so small that the endpoint never gets its share in steady traffic.
-TEST(SlowStart, EndpointGetsItsShareHoweverThinTheTraffic) {
+// The budget must not be so small that the endpoint misses its share in steady traffic.
+TEST(SlowStart, EndpointGetsItsShareInSparseTraffic) {
   constexpr unsigned kSeeds = 4;
   struct Expectation {
     int instances;
-    double least_share;
+    double min_share;
   };
-  // With 56 requests a second over 300 instances, most see none between two attempts that are theirs.
+  // With 56 requests per second over 300 instances, most instances have no request to send while they have
+  // budget, so the bound is low.
   for (Expectation expected :
        {Expectation{1, 0.9}, Expectation{5, 0.9}, Expectation{30, 0.8}, Expectation{300, 0.08}}) {
     double mean_share = 0;
@@ -127,7 +129,7 @@
       mean_share += SlowStartFleet(scenario, seed).run_steady() / kSeeds;
     }
 
-    EXPECT_GE(mean_share, expected.least_share) << expected.instances << " instances";
+    EXPECT_GE(mean_share, expected.min_share) << expected.instances << " instances";
   }
 }
 
--- a/src/policy/slow_start_test.cpp
+++ b/src/policy/slow_start_test.cpp
@@ -48,23 +48,24 @@
   EXPECT_FALSE(slow_start.is_starting(started_at(0), 5));
 }
 
-TEST(SlowStart, BudgetsAreStaggeredByTheInstance) {
+TEST(SlowStart, InitialBudgetDependsOnTheInstanceIndex) {
   Deployment deployment = test::deployment().as_instance(3, 4);
   SlowStart slow_start(deployment);
 
   slow_start.restart(kIndex);
   EXPECT_FALSE(slow_start.has_budget(kIndex));
 
-  // The initial share of 1.25 warm attempts is a quarter of an attempt: 3 quarters were there.
+  // The budget starts at 3/4 for index 3 of 4. The refill adds 1/4: an initial share of 0.2 of 1.25 warm
+  // attempts.
   slow_start.refill(started_at(100), refill_of(1.25), 100);
   EXPECT_TRUE(slow_start.has_budget(kIndex));
 }
 
-TEST(SlowStart, RefillGrowsEvenlyToThatOfAWarmEndpoint) {
+TEST(SlowStart, RefillGrowsLinearlyToThatOfAWarmEndpoint) {
   Deployment deployment = test::deployment().with_slow_start(rule());
   SlowStart slow_start(deployment);
 
-  // Half of the duration gives a share of 0.6.
+  // After half of the duration the share is 0.6.
   slow_start.refill(started_at(100), refill_of(0.5 / 0.6), 105);
   EXPECT_FALSE(slow_start.has_budget(kIndex));
 
@@ -83,7 +84,7 @@
   EXPECT_FALSE(slow_start.has_budget(kIndex));
 }
 
-TEST(SlowStart, AHeavyRequestCostsAsMuchAsItIsHeavierThanTheMean) {
+TEST(SlowStart, AHeavyRequestCostsInProportionToItsWork) {
   Deployment deployment = test::deployment().with_slow_start(rule());
   SlowStart slow_start(deployment);
   slow_start.record_work(0.1);
@@ -91,7 +92,8 @@
 
   slow_start.charge(kIndex, 0.3);
 
-  // One attempt came in, 3 were charged: after 2 more the budget is 1 again.
+  // The budget was 1 and is now -2, as the cost is 3. Each refill adds 1: two refills give 0, and the third
+  // gives 1.
   slow_start.refill(started_at(100), refill_of(5), 100);
   slow_start.refill(started_at(100), refill_of(5), 100);
   EXPECT_FALSE(slow_start.has_budget(kIndex));
@@ -99,7 +101,7 @@
   EXPECT_TRUE(slow_start.has_budget(kIndex));
 }
 
-TEST(SlowStart, WhatIsSavedUpIsBoundedByOneAttemptAndAHalf) {
+TEST(SlowStart, SavedBudgetIsAtMostOneAndAHalfAttempts) {
   Deployment deployment = test::deployment().with_slow_start(rule());
   SlowStart slow_start(deployment);
 
--- a/src/policy/subset_behavior_test.cpp
+++ b/src/policy/subset_behavior_test.cpp
@@ -1,4 +1,5 @@
-// Which endpoints an instance uses among many instances, as lists and the health of endpoints change.
+// Which endpoints one of many instances uses, and how that follows changes of the list and of endpoint
+// health.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -20,7 +21,7 @@
   return host.endpoints_used_from(first);
 }
 
-TEST(Subset, UsesFewEndpointsAndEachEndpointEvenly) {
+TEST(Subset, EachInstanceUsesFewEndpointsAndAllAreUsedEvenly) {
   std::map<std::string, int> instances_by_endpoint;
 
   for (int index = 0; index < kInstances; ++index) {
@@ -33,7 +34,7 @@
     for (const std::string& name : subset) ++instances_by_endpoint[name];
   }
 
-  // 6 instances for each endpoint, as the ring is cut into 8 parts of whole endpoints.
+  // The ring is cut into 8 parts, so 48 / 8 = 6 instances share each endpoint on average.
   EXPECT_EQ(instances_by_endpoint.size(), std::size_t{kEndpoints});
   for (const auto& [name, instances] : instances_by_endpoint) {
     EXPECT_GE(instances, 3) << name;
@@ -78,8 +79,8 @@
   EXPECT_GT(used_later.size(), subset.size());
 }
 
-// The ring was cut into more parts than instances are left, and no list has come since.
-TEST(Subset, SendsRequestsBeforeTheNextListWhereFewInstancesAreLeft) {
+// The instance count drops below the number of parts of the ring, and no endpoint list has arrived since.
+TEST(Subset, SendsRequestsBeforeTheNextListAfterInstanceCountDropped) {
   for (InstancePosition position : {InstancePosition{0, 2}, InstancePosition{1, 1}, InstancePosition{0, 0}}) {
     FakeHost host{deployment().as_instance(0, kInstances)};
     host.list_ready_endpoints(kEndpoints);
@@ -89,7 +90,7 @@
     host.run_for(1);
     host.receive_many(4);
 
-    EXPECT_EQ(host.sent().size() - sent_before, 4U) << "of " << position.count;
+    EXPECT_EQ(host.sent().size() - sent_before, 4U) << "instance count " << position.count;
   }
 }
 
--- a/src/policy/subset_test.cpp
+++ b/src/policy/subset_test.cpp
@@ -18,7 +18,7 @@
   endpoints.on_health_changed(endpoint, before);
 }
 
-// The subset of one instance of several that all have the same list.
+// The subset of one of several instances, which all have the same endpoint list.
 class InstanceSubset {
  public:
   InstanceSubset(int index, int count, int endpoint_count)
@@ -50,20 +50,20 @@
   Subset subset_{deployment_, slow_start_};
 };
 
-TEST(Subset, HoldsTheWholeListOfOneInstance) {
+TEST(Subset, ContainsAllEndpointsWithOneInstance) {
   InstanceSubset instance(0, 1, 50);
 
   EXPECT_EQ(instance.subset().members().size(), 50U);
   EXPECT_EQ(instance.subset().sharing_instances(), 1);
 }
 
-TEST(Subset, HoldsTheWholeListOfFewEndpoints) {
+TEST(Subset, ContainsAllEndpointsOfAShortList) {
   InstanceSubset instance(3, 100, 7);
 
   EXPECT_EQ(instance.subset().members().size(), 7U);
 }
 
-TEST(Subset, PartsOfAllInstancesCoverTheList) {
+TEST(Subset, SubsetsOfAllInstancesCoverTheList) {
   constexpr int kInstances = 16;
   std::set<std::string> covered;
 
@@ -76,13 +76,13 @@
   EXPECT_EQ(covered.size(), 64U);
 }
 
-TEST(Subset, PartHasFourEndpointsAtLeast) {
+TEST(Subset, HasAtLeastFourEndpoints) {
   for (int index = 0; index < 40; ++index) {
     EXPECT_GE(InstanceSubset(index, 40, 40).subset().members().size(), 4U);
   }
 }
 
-TEST(Subset, OwnWeightsAddUpToTheListOverAllInstancesOfARing) {
+TEST(Subset, OwnWeightsOfAllInstancesCoverEachEndpointEqually) {
   constexpr int kInstances = 32;
   constexpr int kEndpoints = 32;
   double weight = 0;
@@ -94,7 +94,7 @@
     }
   }
 
-  // 32 instances in 8 parts: each endpoint belongs to 4 instances.
+  // 32 instances share 8 parts, so each endpoint belongs to 4 instances.
   EXPECT_NEAR(weight, 4 * kEndpoints, 1e-9);
 }
 
@@ -116,7 +116,7 @@
   EXPECT_FALSE(instance.member_names().contains("endpoint-3"));
 }
 
-TEST(Subset, AnEjectedEndpointLeavesItsPartToTheNext) {
+TEST(Subset, AnEjectedEndpointIsReplacedByTheNextOnTheRing) {
   InstanceSubset instance(0, 16, 64);
   std::size_t size_before = instance.subset().members().size();
   Endpoint& endpoint = instance.endpoints()[instance.subset().members().front()];
@@ -129,7 +129,7 @@
   EXPECT_GT(instance.subset().members().size(), size_before);
 }
 
-TEST(Subset, WithKnownSharesTheRingIsNotCut) {
+TEST(Subset, ContainsAllEndpointsOnceInstanceSharesAreKnown) {
   InstanceSubset instance(0, 16, 64);
   ASSERT_LT(instance.subset().members().size(), 64U);
 
