--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -57,7 +57,7 @@
     count(Outcome::NotSuspect);
     return Decision::Recheck;
   }
-  if (is_lateness_shared() && lateness_.size() >= LatencyTracker::kMinimumSamples) {
+  if (is_lateness_shared() && lateness_.size() >= LatencyTracker::kMinSamples) {
     count(Outcome::SharedLateness);
     return Decision::Suppressed;
   }
