--- a/include/puffinvane/learned_state.h
+++ b/include/puffinvane/learned_state.h
@@ -47,7 +47,7 @@
   };
   struct EndpointState {
     std::string name;
-    double online_since_s = 0;  // start time of the endpoint; 0: before the exporter knew of it
+    double online_since_s = 0;  // start time; 0: it ran before the exporter first saw it
     EndpointStatistics whole;
     std::vector<EndpointStatistics> by_class;  // in the order of `classes`
     friend bool operator==(const EndpointState&, const EndpointState&) = default;
--- a/include/puffinvane/policy.h
+++ b/include/puffinvane/policy.h
@@ -69,13 +69,13 @@
   double connect_timeout_s = 0.25;
   double idle_timeout_s = 10;  // endpoints close connections that have been idle for longer
   bool polls_endpoint_list = false;
-  // Endpoints that are listed as removed, or missing from a list, may still receive attempts; those listed as
-  // draining may not.
+  // Endpoints that are listed as removed, or missing from a list, may still receive attempts until they fail;
+  // those listed as draining may not.
   bool may_use_unlisted_endpoints = false;
-  double cross_zone_price =
-      0;  // cost of sending every request to another zone, as a share of the served value
-  bool has_key_affinity =
-      false;  // endpoints of a cell do less work for a key that one of them served recently
+  // Cost of sending every request to another zone, as a share of the served value.
+  double cross_zone_price = 0;
+  // Endpoints of a cell do less work for a key that one of them served recently.
+  bool has_key_affinity = false;
   std::string zone;
   bool priority_by_work = false;  // priority_weight applies per unit of work, else per request
   double list_poll_interval_s = 10;
@@ -93,7 +93,7 @@
   std::int64_t cell = 0;
   ListedState state = ListedState::Ready;
   double weight = 1;          // capacity relative to the other endpoints
-  double online_since_s = 0;  // start time of the endpoint; 0: before this process knew of it
+  double online_since_s = 0;  // start time; 0: it ran before this process first saw it
   friend bool operator==(const ListEntry&, const ListEntry&) = default;
 };
 
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -55,7 +55,7 @@
   std::string zone;
   std::int64_t cell = 0;
   double weight = 1;        // as listed
-  double online_since = 0;  // start time of the endpoint; 0: it started before this process knew of it
+  double online_since = 0;  // start time; 0: it ran before this process first saw it
   bool is_missing = false;  // absent from the last full list, or listed as removed
   double last_used_at = 0;  // when the most recent attempt was sent
   Load load;                // as reported by its most recent response
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -39,8 +39,8 @@
   // Whether `endpoint` may be ejected, as a whole or for one request class, without exceeding the maximum
   // share of ejected endpoints. A recovering target may always be ejected again.
   bool may_eject(const Endpoint& endpoint, std::optional<std::size_t> class_index) const;
-  // If no listed endpoint has accepted attempts for kMaxSecondsWithoutEndpoint, returns the ejected endpoint
-  // whose ejection ends first; its recovery should begin now. Must be called in every tick.
+  // If no listed endpoint has accepted attempts for a while, returns the ejected endpoint whose ejection ends
+  // first: its recovery should begin now. Must be called in every tick.
   std::optional<EndpointIndex> select_early_recovery(double now);
   // Whether the attempts sent since the target's last response are long past their hedge threshold. Waiting
   // time before `awake_since`, the end of this process's last stall, doesn't count.
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -31,7 +31,7 @@
 void Subset::update_ring(EndpointTable& endpoints) {
   update_part_count(endpoints.listed_count());
   std::set<EndpointIndex> added = endpoints.take_newly_listed();
-  // Instances are distributed over as many different rings as instances share an endpoint.
+  // The instances are spread evenly over the rings, which differ by their seed.
   int ring_number = deployment_.instance_index % sharing_instances() + 1;
   std::uint64_t seed = kHashMultiplier * std::uint64_t(ring_number);
   if (seed != ring_seed_) {
--- a/src/policy/subset.h
+++ b/src/policy/subset.h
@@ -1,6 +1,7 @@
-// The subset of the listed endpoints that this instance sends to. The endpoints are ordered on a consistent
-// ring, which is cut into parts of equal weight; each instance uses one part. So each endpoint is shared by
-// only a few instances, which receive enough responses to judge it.
+// The subset of the listed endpoints that this instance sends to. The endpoints are ordered on consistent
+// rings. Each ring is divided into sections of equal weight, one for each of its instances, and there are as
+// many rings as instances are to share an endpoint. So an endpoint is used by a few instances only, which
+// receive enough responses to judge it.
 #pragma once
 
 #include <cstdint>
@@ -62,7 +63,7 @@
   std::vector<double> ring_offsets_;
   std::vector<EndpointIndex> members_;
   std::uint64_t ring_seed_ = 0;  // instances with the same seed have the same ring
-  int part_count_ = 1;           // parts that the ring is cut into
+  int part_count_ = 1;           // sections of a ring, if the instances divide evenly
   bool ring_changed_ = false;    // a weight changed or an endpoint was removed since the last update_ring
   bool weights_are_shares_ = false;
 };
