--- a/src/policy/endpoint_table.h
+++ b/src/policy/endpoint_table.h
@@ -24,8 +24,7 @@
   };
   struct Release {
     std::vector<EndpointIndex> removed;  // endpoints that are no longer listed
-    std::vector<EndpointIndex>
-        freed;  // those of `removed` without attempts in flight: the slot may be reused
+    std::vector<EndpointIndex> freed;    // those without attempts in flight, whose slots may be reused
   };
 
   explicit EndpointTable(std::size_t class_count) : class_count_(class_count) {}
--- a/src/policy/subset.cpp
+++ b/src/policy/subset.cpp
@@ -10,26 +10,27 @@
 
 namespace {
 
-constexpr int kMinPartSize = 4;  // minimum of endpoints in a part, and of instances that share an endpoint
-// The number of parts changes only if it would grow or shrink by more than these factors, as each change
+constexpr int kMinSectionSize =
+    4;  // minimum number of endpoints in a section, and of instances that share an endpoint
+// The number of sections changes only if it would grow or shrink by more than these factors, as each change
 // makes all instances open connections to other endpoints.
-constexpr double kPartGrowth = 1.25;
-constexpr double kPartShrinkage = 0.75;
+constexpr double kSectionCountGrowth = 1.25;
+constexpr double kSectionCountShrinkage = 0.75;
 // Where responses report load: the requests per second that an endpoint must receive for its samples to stay
 // recent. The subset contains as many endpoints as receive this rate.
 constexpr double kRequestsPerEndpointPerSecond = 2;
 
 }  // namespace
 
-// The part count is reset at once and not with the next list: the instance count may already have dropped
-// below the old part count, and sharing_instances() must not become 0.
+// The section count is reset at once and not with the next list: the instance count may already have dropped
+// below the old section count, and sharing_instances() must not become 0.
 void Subset::on_instance_shares_known() {
   weights_are_shares_ = true;
-  part_count_ = 1;
+  section_count_ = 1;
 }
 
 void Subset::update_ring(EndpointTable& endpoints) {
-  update_part_count(endpoints.listed_count());
+  update_section_count(endpoints.listed_count());
   std::set<EndpointIndex> added = endpoints.take_newly_listed();
   // The instances are spread evenly over the rings, which differ by their seed.
   int ring_number = deployment_.instance_index % sharing_instances() + 1;
@@ -50,11 +51,11 @@
   update_ring_offsets(endpoints);
 }
 
-void Subset::update_part_count(int listed) {
-  int parts =
-      weights_are_shares_ ? 1 : std::max(1, std::min(listed, deployment_.instance_count) / kMinPartSize);
-  if (parts > part_count_ * kPartGrowth || parts < part_count_ * kPartShrinkage) {
-    part_count_ = parts;
+void Subset::update_section_count(int listed) {
+  int sections =
+      weights_are_shares_ ? 1 : std::max(1, std::min(listed, deployment_.instance_count) / kMinSectionSize);
+  if (sections > section_count_ * kSectionCountGrowth || sections < section_count_ * kSectionCountShrinkage) {
+    section_count_ = sections;
   }
 }
 
@@ -100,7 +101,7 @@
   int rings = sharing_instances();
   int index = deployment_.instance_index;
   int sections = 1;
-  if (part_count_ > 1) {
+  if (section_count_ > 1) {
     sections = (deployment_.instance_count - index % rings + rings - 1) / rings;
   }
   double ring_weight = ring_offsets_.back();
--- a/src/policy/subset.h
+++ b/src/policy/subset.h
@@ -20,7 +20,7 @@
   // Updates the ring after changes of the endpoint list or of the instance count.
   void update_ring(EndpointTable& endpoints);
   // From now on the listed weights are this instance's shares of the endpoints, so every listed endpoint is
-  // used: the ring is a single part.
+  // used: the ring has a single section.
   void on_instance_shares_known();
   // Recomputes the members: the endpoints in this instance's section of the ring. Where responses report
   // load, the section grows with `requests_per_s`, the rate at which this instance completes requests.
@@ -31,8 +31,8 @@
   const std::vector<EndpointIndex>& ring() const { return ring_; }
   // The part of an endpoint's weight that belongs to this instance; 0 for endpoints outside of the subset.
   double own_weight(EndpointIndex index) const { return slots_.at_or_default(index).own_weight; }
-  // How many instances share each endpoint; at least 1, as there are never more parts than instances.
-  int sharing_instances() const { return deployment_.instance_count / part_count_; }
+  // How many instances share each endpoint; at least 1, as there are never more sections than instances.
+  int sharing_instances() const { return deployment_.instance_count / section_count_; }
 
   void on_weight_changed() { ring_changed_ = true; }
   void on_endpoint_removed(EndpointIndex index);
@@ -50,7 +50,7 @@
     double end = 0;
   };
 
-  void update_part_count(int listed);
+  void update_section_count(int listed);
   void insert_into_ring(const EndpointTable& endpoints, const std::set<EndpointIndex>& added);
   void update_ring_offsets(const EndpointTable& endpoints);
   Section own_section(double requests_per_s) const;
@@ -63,7 +63,7 @@
   std::vector<double> ring_offsets_;
   std::vector<EndpointIndex> members_;
   std::uint64_t ring_seed_ = 0;  // instances with the same seed have the same ring
-  int part_count_ = 1;           // sections of a ring, if the instances divide evenly
+  int section_count_ = 1;        // target number of sections of each ring
   bool ring_changed_ = false;    // a weight changed or an endpoint was removed since the last update_ring
   bool weights_are_shares_ = false;
 };
--- a/src/policy/subset_behavior_test.cpp
+++ b/src/policy/subset_behavior_test.cpp
@@ -34,7 +34,7 @@
     for (const std::string& name : subset) ++instances_by_endpoint[name];
   }
 
-  // The ring is cut into 8 parts, so 48 / 8 = 6 instances share each endpoint on average.
+  // Each ring has 8 sections, so 48 / 8 = 6 instances share each endpoint on average.
   EXPECT_EQ(instances_by_endpoint.size(), std::size_t{kEndpoints});
   for (const auto& [name, instances] : instances_by_endpoint) {
     EXPECT_GE(instances, 3) << name;
@@ -79,7 +79,7 @@
   EXPECT_GT(used_later.size(), subset.size());
 }
 
-// The instance count drops below the number of parts of the ring, and no endpoint list has arrived since.
+// The instance count drops below the number of sections of the ring, and no endpoint list has arrived since.
 TEST(Subset, SendsRequestsBeforeTheNextListAfterInstanceCountDropped) {
   for (InstancePosition position : {InstancePosition{0, 2}, InstancePosition{1, 1}, InstancePosition{0, 0}}) {
     FakeHost host{deployment().as_instance(0, kInstances)};
--- a/src/policy/subset_test.cpp
+++ b/src/policy/subset_test.cpp
@@ -94,7 +94,7 @@
     }
   }
 
-  // 32 instances share 8 parts, so each endpoint belongs to 4 instances.
+  // Each ring has 8 sections, so 32 / 8 = 4 instances share each endpoint.
   EXPECT_NEAR(weight, 4 * kEndpoints, 1e-9);
 }
 
