--- a/testing/policy/slow_start_fleet.h
+++ b/testing/policy/slow_start_fleet.h
@@ -89,8 +89,8 @@
   static constexpr double kSteadyS = 8;
   static constexpr double kBurstS = 1.5;
   static constexpr double kResponseS = 0.1;
-  static constexpr double kSteadyLoad = 0.9;
-  static constexpr double kBurstMultiple = 8;
+  static constexpr double kSteadyLoad = 0.9;   // relative to what all endpoints can serve
+  static constexpr double kBurstMultiple = 8;  // load of the burst relative to steady traffic
   static constexpr double kMeanWorkS = 0.05;
 
   enum class Endpoints { Answer, Hang };
@@ -105,7 +105,7 @@
     double at_s = 0;
     double relative_work = 1;  // relative to the mean
     friend auto operator<=>(const Arrival&,
-                            const Arrival&) = default;  // NOLINT(modernize-use-nullptr): not its text
+                            const Arrival&) = default;  // NOLINT(modernize-use-nullptr): false positive
   };
 
   double now_s() const { return instances_[0].host->now_s(); }
