--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -9,280 +9,304 @@
 namespace puffinvane::fleet {
 
 namespace {
-constexpr int kMostAwareness = 2;  // Lifeguard's: periods are stretched by up to this and one more
-constexpr int kLastWords = 5;
-constexpr std::size_t kMostHelp = 64;  // pings for others at a time
-constexpr double kHelpShare = 0.6;     // of what the asker's period leaves: the answer has to travel
-constexpr std::uint64_t kMostLife = std::uint64_t{1} << 53;
+constexpr int kMaxAwareness = 2;  // timeouts are stretched by up to 1 + this, as in Lifeguard
+constexpr int kMaxFinalPings = 5;
+constexpr std::size_t kMaxProxiedPings = 64;  // pending at the same time
+// A proxied ping is answered with a Nack after this share of the time that the requester's probe interval
+// leaves after the ack timeout: the Nack itself has to arrive within the interval.
+constexpr double kProxyTimeoutShare = 0.6;
+// A generation is a Unix time in microseconds, so this is not reached before the year 2255.
+constexpr std::uint64_t kMaxGeneration = std::uint64_t{1} << 53;
 }  // namespace
 
 bool is_valid(const Member& member) {
-  auto text = [](const std::string& one, std::size_t most) { return one.size() <= most; };
+  auto fits = [](const std::string& text, std::size_t max_bytes) { return text.size() <= max_bytes; };
   if (member.name.empty() || member.address.empty() || member.facts.size() > kMaxFactCount) return false;
-  if (!text(member.name, kMaxNameBytes) || !text(member.address, kMaxNameBytes)) return false;
-  if (!text(member.zone, kMaxFactBytes) || !text(member.build, kMaxFactBytes)) return false;
-  if (member.version.generation == 0 || member.version.generation > kMostLife ||
+  if (!fits(member.name, kMaxNameBytes) || !fits(member.address, kMaxNameBytes)) return false;
+  if (!fits(member.zone, kMaxFactBytes) || !fits(member.build, kMaxFactBytes)) return false;
+  if (member.version.generation == 0 || member.version.generation > kMaxGeneration ||
       member.phase > Phase::Leaving)
     return false;
   return std::all_of(member.facts.begin(), member.facts.end(), [&](const auto& fact) {
-    return text(fact.first, kMaxFactBytes) && text(fact.second, kMaxFactBytes);
+    return fits(fact.first, kMaxFactBytes) && fits(fact.second, kMaxFactBytes);
   });
 }
 
 std::size_t max_encoded_size(const MembershipUpdate& update) {
   const Member& member = update.member;
-  std::size_t all = 40 + member.name.size() + member.address.size() + member.zone.size() +
-                    member.build.size() + update.by.size();
-  for (const auto& [key, value] : member.facts) all += 4 + key.size() + value.size();
-  return all;
-}
-
-const Transition<Membership, Membership::Probe, Membership::Input> Membership::kProbe[] = {
-    {Probe::Idle, Input::Due, Probe::Asked, &Membership::begin_probe},
-    {Probe::Asked, Input::Silent, Probe::Helped, &Membership::ask_for_help},
-    {Probe::Asked, Input::Answered, Probe::Idle, &Membership::probe_answered},
-    {Probe::Helped, Input::Answered, Probe::Idle, &Membership::probe_answered},
-    {Probe::Asked, Input::Over, Probe::Idle, &Membership::probe_failed},
-    {Probe::Helped, Input::Over, Probe::Idle, &Membership::probe_failed},
+  std::size_t bytes = 40 + member.name.size() + member.address.size() + member.zone.size() +
+                      member.build.size() + update.reporter.size();
+  for (const auto& [key, value] : member.facts) bytes += 4 + key.size() + value.size();
+  return bytes;
+}
+
+const Transition<Membership, Membership::Probe, Membership::Input> Membership::kProbeTransitions[] = {
+    {Probe::Idle, Input::ProbeDue, Probe::AwaitingAck, &Membership::begin_probe},
+    {Probe::AwaitingAck, Input::AckTimeout, Probe::AwaitingIndirectAck, &Membership::send_indirect_pings},
+    {Probe::AwaitingAck, Input::Acked, Probe::Idle, &Membership::on_probe_acked},
+    {Probe::AwaitingIndirectAck, Input::Acked, Probe::Idle, &Membership::on_probe_acked},
+    {Probe::AwaitingAck, Input::PeriodEnded, Probe::Idle, &Membership::on_probe_failed},
+    {Probe::AwaitingIndirectAck, Input::PeriodEnded, Probe::Idle, &Membership::on_probe_failed},
 };
 
-Membership::Membership(Member me, std::vector<std::string> seeds, const DetectorTiming& timing,
+Membership::Membership(Member self, std::vector<std::string> seeds, const DetectorTiming& timing,
                        std::uint64_t seed, Host& host)
-    : me_(std::move(me)), seeds_(std::move(seeds)), timing_(timing), chance_(seed), host_(host) {
-  std::erase(seeds_, me_.address);
-  digest_ = mark(me_);
+    : self_(std::move(self)), seeds_(std::move(seeds)), timing_(timing), rng_(seed), host_(host) {
+  std::erase(seeds_, self_.address);
+  digest_ = version_hash(self_);
 }
 
 void Membership::start(double now) {
   now_ = now;
-  // Not all at once where all were started at once.
-  next_probe_ = now + timing_.probe * double(random(1000)) / 1000;
-  next_reconnect_ = now + timing_.reconnect * double(random(1000)) / 1000;
-  next_forget_ = now + timing_.forget / 10;
-  spread(me_.name);
-  if (!seeds_.empty()) host_.sync(seeds_[random(seeds_.size())]);
-  ask_to_wake();
-}
-
-void Membership::woken(double now) {
-  // Each earlier one asked for comes too: answered by asking again they would only grow in number.
-  if (asked_wake_ < 0 || now < asked_wake_) return;
-  // Later than asked for, this process stood still: what is overdue says nothing of others.
-  if (now > asked_wake_ + timing_.answer) stalled(now - asked_wake_);
-  now_ = now, asked_wake_ = -1;
+  // The first probe and the first reconnect are delayed at random: members that were started together would
+  // otherwise stay in step.
+  next_probe_ = now + timing_.probe_interval * double(random(1000)) / 1000;
+  next_reconnect_ = now + timing_.reconnect_interval * double(random(1000)) / 1000;
+  next_forget_ = now + timing_.forget_after / 10;
+  enqueue_update(self_.name);
+  if (!seeds_.empty()) host_.request_sync(seeds_[random(seeds_.size())]);
+  reschedule_timer();
+}
+
+void Membership::on_timer(double now) {
+  // Timers aren't cancelled, so calls scheduled before a shorter one was requested arrive too. Rescheduling
+  // on each of them would let their number grow without bound.
+  if (timer_at_ < 0 || now < timer_at_) return;
+  // This process was stalled: timeouts that expired meanwhile say nothing about other members.
+  if (now > timer_at_ + timing_.ack_timeout) on_stall(now - timer_at_);
+  now_ = now;
+  timer_at_ = -1;
   if (departed_) return;
   if (!superseded_) {
-    if (now >= next_step_) apply_transition(kProbe, *this, probe_, Input::Silent);
+    if (now >= ack_timeout_at_) apply_transition(kProbeTransitions, *this, probe_, Input::AckTimeout);
     if (now >= next_probe_) {
-      apply_transition(kProbe, *this, probe_, Input::Over);
-      next_probe_ = now + timing_.probe * (1 + awareness_);
-      apply_transition(kProbe, *this, probe_, Input::Due);
+      apply_transition(kProbeTransitions, *this, probe_, Input::PeriodEnded);
+      next_probe_ = now + timing_.probe_interval * (1 + awareness_);
+      apply_transition(kProbeTransitions, *this, probe_, Input::ProbeDue);
     }
-    help_due();
-    suspicions_due();
-    if (now >= next_gossip_) gossip();
+    send_due_nacks();
+    check_suspicions();
+    if (now >= next_gossip_) send_gossip();
   }
   if (now >= next_reconnect_) reconnect();
-  if (now >= next_forget_) forget();
-  ask_to_wake();
+  if (now >= next_forget_) forget_dead_members();
+  reschedule_timer();
 }
 
-void Membership::stalled(double seconds) {
+void Membership::on_stall(double seconds) {
   ++counts_.stalls;
-  aware(1);
+  adjust_awareness(1);
   probe_ = Probe::Idle;
-  helping_.clear();
-  for (auto& [name, suspicion] : suspicions_) suspicion.from += seconds;
+  proxied_pings_.clear();
+  for (auto& [name, suspicion] : suspicions_) suspicion.started_at += seconds;
 }
 
-void Membership::ask_to_wake() {
+void Membership::reschedule_timer() {
   if (departed_) return;
   double at = next_reconnect_;
   if (!superseded_) {
     at = std::min(at, next_probe_);
-    if (probe_ == Probe::Asked) at = std::min(at, next_step_);
-    if (!queue_.empty()) at = std::min(at, next_gossip_);
-    for (const auto& [name, suspicion] : suspicions_) at = std::min(at, suspected_until(suspicion));
-    for (const Helped& one : helping_) at = std::min(at, one.until);
+    if (probe_ == Probe::AwaitingAck) at = std::min(at, ack_timeout_at_);
+    if (!update_queue_.empty()) at = std::min(at, next_gossip_);
+    for (const auto& [name, suspicion] : suspicions_) at = std::min(at, suspicion_deadline(suspicion));
+    for (const ProxiedPing& ping : proxied_pings_) at = std::min(at, ping.nack_at);
   }
-  if (asked_wake_ >= 0 && at >= asked_wake_) return;
-  host_.wake(asked_wake_ = at);
+  if (timer_at_ >= 0 && at >= timer_at_) return;
+  host_.schedule_timer(timer_at_ = at);
 }
 
-// ---- the detector
+// ---- failure detector
 
 void Membership::begin_probe() {
-  target_.clear();
-  for (int rounds = 0; rounds < 2 && target_.empty(); ++rounds) {
-    while (!round_.empty() && target_.empty()) {
-      auto known = others_.find(round_.back());
-      if (known != others_.end() && live(known->second)) target_ = known->first;
-      round_.pop_back();
+  probe_target_.clear();
+  for (int rounds = 0; rounds < 2 && probe_target_.empty(); ++rounds) {
+    while (!probe_order_.empty() && probe_target_.empty()) {
+      auto known = others_.find(probe_order_.back());
+      if (known != others_.end() && is_live(known->second)) probe_target_ = known->first;
+      probe_order_.pop_back();
     }
-    if (!target_.empty()) break;
+    if (!probe_target_.empty()) break;
     for (const auto& [name, entry] : others_) {
-      if (live(entry)) round_.push_back(name);
+      if (is_live(entry)) probe_order_.push_back(name);
     }
-    for (std::size_t i = round_.size(); i > 1; --i) std::swap(round_[i - 1], round_[random(i)]);
+    for (std::size_t i = probe_order_.size(); i > 1; --i)
+      std::swap(probe_order_[i - 1], probe_order_[random(i)]);
   }
-  if (target_.empty()) return void(probe_ = Probe::Idle);
-  number_ = chance_();
-  helpers_ = silent_helpers_ = 0;
-  next_step_ = now_ + timing_.answer * (1 + awareness_);
-  const Entry& target = others_.at(target_);
-  // Who is suspected hears of it first, and can say otherwise.
-  send(target.member.address, {Message::Kind::Ping, number_, {}, target_, 0, {}},
-       target.state == MemberState::Suspect ? target_ : "");
-}
-
-void Membership::ask_for_help() {
-  for (const std::string& name : random_live(std::size_t(timing_.helpers), target_)) {
-    ++helpers_;
-    send(others_.at(name).member.address, {Message::Kind::IndirectPing, number_, {}, target_, 0, {}});
+  if (probe_target_.empty()) return void(probe_ = Probe::Idle);
+  probe_sequence_ = rng_();
+  indirect_pings_sent_ = nacks_received_ = 0;
+  ack_timeout_at_ = now_ + timing_.ack_timeout * (1 + awareness_);
+  const Entry& target = others_.at(probe_target_);
+  // A suspect is told of the suspicion first, so that it can refute it.
+  send(target.member.address, {Message::Kind::Ping, probe_sequence_, {}, probe_target_, 0, {}},
+       target.state == MemberState::Suspect ? probe_target_ : "");
+}
+
+void Membership::send_indirect_pings() {
+  for (const std::string& name : random_live_members(std::size_t(timing_.indirect_pings), probe_target_)) {
+    ++indirect_pings_sent_;
+    send(others_.at(name).member.address,
+         {Message::Kind::IndirectPing, probe_sequence_, {}, probe_target_, 0, {}});
   }
 }
 
-void Membership::probe_answered() { aware(-1); }
+void Membership::on_probe_acked() { adjust_awareness(-1); }
 
-void Membership::probe_failed() {
-  // Helpers that did not even say that they heard nothing: it may be this one that does not hear.
-  aware(helpers_ > 0 ? helpers_ - std::min(helpers_, silent_helpers_) : 1);
-  auto known = others_.find(target_);
-  if (known == others_.end() || !live(known->second)) return;
-  hear({known->second.member, MemberState::Suspect, me_.name});
+void Membership::on_probe_failed() {
+  // A member that was asked for an indirect ping answers with an Ack or a Nack. Each that sent neither is a
+  // sign that this member itself misses messages.
+  adjust_awareness(
+      indirect_pings_sent_ > 0 ? indirect_pings_sent_ - std::min(indirect_pings_sent_, nacks_received_) : 1);
+  auto known = others_.find(probe_target_);
+  if (known == others_.end() || !is_live(known->second)) return;
+  process_update({known->second.member, MemberState::Suspect, self_.name});
 }
 
-void Membership::aware(int change) { awareness_ = std::clamp(awareness_ + change, 0, kMostAwareness); }
+void Membership::adjust_awareness(int change) {
+  awareness_ = std::clamp(awareness_ + change, 0, kMaxAwareness);
+}
 
-void Membership::help_due() {
-  std::erase_if(helping_, [this](const Helped& one) {
-    if (now_ < one.until) return false;
-    send(one.address, {Message::Kind::Nack, one.asked, {}, {}, 0, {}});
+void Membership::send_due_nacks() {
+  std::erase_if(proxied_pings_, [this](const ProxiedPing& ping) {
+    if (now_ < ping.nack_at) return false;
+    send(ping.requester, {Message::Kind::Nack, ping.requester_sequence, {}, {}, 0, {}});
     return true;
   });
 }
 
-double Membership::log_size() const { return std::max(1.0, std::log10(double(living_.size() + 1))); }
+double Membership::log_member_count() const {
+  return std::max(1.0, std::log10(double(live_members_.size() + 1)));
+}
 
-double Membership::suspected_until(const Suspicion& suspicion) const {
-  int possible = std::min(timing_.confirmations, int(living_.size()) - 1);
-  if (possible < 1) return suspicion.from + suspicion.least;
-  double heard = std::min(double(suspicion.accusers.size()) - 1, double(possible));
-  double part = std::log(heard + 1) / std::log(possible + 1);
-  return suspicion.from + suspicion.longest - (suspicion.longest - suspicion.least) * part;
+double Membership::suspicion_deadline(const Suspicion& suspicion) const {
+  int possible = std::min(timing_.max_confirmations, int(live_members_.size()) - 1);
+  if (possible < 1) return suspicion.started_at + suspicion.min_duration;
+  double confirmations = std::min(double(suspicion.accusers.size()) - 1, double(possible));
+  double shortening = std::log(confirmations + 1) / std::log(possible + 1);
+  return suspicion.started_at + suspicion.max_duration -
+         (suspicion.max_duration - suspicion.min_duration) * shortening;
 }
 
-void Membership::suspect(const std::string& name, const std::string& by) {
-  double least = timing_.suspicion * log_size() * timing_.probe;
-  suspicions_[name] = {now_, least, least * timing_.doubt, {by}, by, 0};
+void Membership::start_suspicion(const std::string& name, const std::string& accuser) {
+  double min_duration = timing_.suspicion_multiplier * log_member_count() * timing_.probe_interval;
+  suspicions_[name] = {now_,      min_duration, min_duration * timing_.max_suspicion_factor,
+                       {accuser}, accuser,      0};
   ++counts_.suspected;
 }
 
-void Membership::confirm(const std::string& name, const std::string& by) {
+void Membership::confirm_suspicion(const std::string& name, const std::string& accuser) {
   Suspicion& suspicion = suspicions_[name];
-  if (int(suspicion.accusers.size()) > timing_.confirmations || !suspicion.accusers.insert(by).second) return;
-  suspicion.latest = by;
-  spread(name);
+  if (int(suspicion.accusers.size()) > timing_.max_confirmations ||
+      !suspicion.accusers.insert(accuser).second)
+    return;
+  suspicion.latest_accuser = accuser;
+  enqueue_update(name);
 }
 
-void Membership::suspicions_due() {
-  std::vector<std::string> due;
+void Membership::check_suspicions() {
+  std::vector<std::string> dead;
   for (auto& [name, suspicion] : suspicions_) {
-    if (now_ < suspected_until(suspicion)) continue;
-    if (suspicion.last_words == kLastWords) {
-      due.push_back(name);
+    if (now_ < suspicion_deadline(suspicion)) continue;
+    if (suspicion.final_pings == kMaxFinalPings) {
+      dead.push_back(name);
       continue;
     }
-    // Its refutation may have been lost on the way to this one alone, which would bury it for all.
-    ++suspicion.last_words;
-    suspicion.from += timing_.probe / 4;
-    send(others_.at(name).member.address, {Message::Kind::Ping, chance_(), {}, name, 0, {}}, name);
+    // Its refutation may have been lost on the way to this member only, which would then declare it dead to
+    // all.
+    ++suspicion.final_pings;
+    suspicion.started_at += timing_.probe_interval / 4;
+    send(others_.at(name).member.address, {Message::Kind::Ping, rng_(), {}, name, 0, {}}, name);
   }
-  for (const std::string& name : due) {
-    ++counts_.died;
-    hear({others_.at(name).member, MemberState::Dead, me_.name});
+  for (const std::string& name : dead) {
+    ++counts_.declared_dead;
+    process_update({others_.at(name).member, MemberState::Dead, self_.name});
   }
 }
 
-// ---- news
+// ---- updates
 
-void Membership::hear(const MembershipUpdate& update) {
-  if (!is_valid(update.member) || update.state > MemberState::Departed || update.by.size() > kMaxNameBytes)
+void Membership::process_update(const MembershipUpdate& update) {
+  if (!is_valid(update.member) || update.state > MemberState::Departed ||
+      update.reporter.size() > kMaxNameBytes)
     return void(++counts_.dropped);
-  if (update.member.name == me_.name) return hear_of_me(update);
+  if (update.member.name == self_.name) return process_update_about_self(update);
   auto known = others_.find(update.member.name);
   if (known == others_.end()) {
     if (update.state >= MemberState::Dead) return;
-    if (others_.size() >= kMost) forget();
-    if (others_.size() >= kMost) return void(++counts_.dropped);
+    if (others_.size() >= kMaxMembers) forget_dead_members();
+    if (others_.size() >= kMaxMembers) return void(++counts_.dropped);
     Entry& entry = others_[update.member.name];
-    entry.state = MemberState::Departed;  // from which any news of a life is later
+    entry.state = MemberState::Departed;  // with generation 0, so that any update is newer
     entry.member.name = update.member.name;
-    return apply(entry, update);
+    return accept_update(entry, update);
   }
   Entry& entry = known->second;
   if (std::pair(update.member.version, update.state) > std::pair(entry.member.version, entry.state))
-    return apply(entry, update);
+    return accept_update(entry, update);
   if (update.state == MemberState::Suspect && entry.state == MemberState::Suspect &&
       update.member.version == entry.member.version)
-    confirm(update.member.name, update.by);
+    confirm_suspicion(update.member.name, update.reporter);
 }
 
-void Membership::apply(Entry& entry, const MembershipUpdate& update) {
-  if (live(entry)) count_out(entry);
-  // Only a member itself says what it is; who accuses it can't move its address.
+void Membership::accept_update(Entry& entry, const MembershipUpdate& update) {
+  if (is_live(entry)) remove_live(entry);
+  // Only the member itself raises its version, so an accuser can't change its address or its facts.
   if (update.member.version > entry.member.version) entry.member = update.member;
   if (entry.state != update.state) entry.since = now_;
   entry.state = update.state;
-  if (live(entry)) count_in(entry);
+  if (is_live(entry)) add_live(entry);
   const std::string name = entry.member.name;
-  if (entry.state == MemberState::Suspect) suspect(name, update.by);
+  if (entry.state == MemberState::Suspect) start_suspicion(name, update.reporter);
   else suspicions_.erase(name);
-  changed_at_ = now_;
-  spread(name);
-  host_.changed(entry.member, entry.state);
-}
-
-void Membership::hear_of_me(const MembershipUpdate& update) {
-  const Version heard = update.member.version;
-  if (heard.generation > me_.version.generation) return outlive(update);
-  if (heard.generation < me_.version.generation || departed_) return;
-  // Refuted long since, but whoever passes it on has not heard so, and may be about to bury this one.
-  if (heard.incarnation < me_.version.incarnation)
-    return update.state == MemberState::Alive ? void() : void(queue_.try_emplace(me_.name, 0));
-  if (update.state == MemberState::Alive && update.member == me_) return;
+  last_change_at_ = now_;
+  enqueue_update(name);
+  host_.on_member_changed(entry.member, entry.state);
+}
+
+void Membership::process_update_about_self(const MembershipUpdate& update) {
+  const Version reported = update.member.version;
+  if (reported.generation > self_.version.generation) return resolve_name_conflict(update);
+  if (reported.generation < self_.version.generation || departed_) return;
+  // Refuted before, but the sender doesn't know it and may be about to declare this member dead: the
+  // refutation is sent again.
+  if (reported.incarnation < self_.version.incarnation)
+    return update.state == MemberState::Alive ? void() : void(update_queue_.try_emplace(self_.name, 0));
+  if (update.state == MemberState::Alive && update.member == self_) return;
   ++counts_.refuted;
-  aware(1);
-  bool last = heard.incarnation == std::numeric_limits<std::uint32_t>::max();
-  renew(last ? Version{heard.generation + 1, 0} : Version{heard.generation, heard.incarnation + 1});
-}
-
-// A later life of this name. At this address it was one of this place's, by a clock that was ahead, and dead
-// or gone it is over: this one lives after it. Elsewhere, alive, it is another process that was started
-// later.
-void Membership::outlive(const MembershipUpdate& update) {
-  bool over = update.state >= MemberState::Dead || update.member.address == me_.address;
-  if (over == superseded_ || !over) {
-    bool before = std::exchange(superseded_, !over);
-    if (over || !before) host_.superseded(superseded_, update.member.address);
+  adjust_awareness(1);
+  bool incarnations_exhausted = reported.incarnation == std::numeric_limits<std::uint32_t>::max();
+  set_own_version(incarnations_exhausted ? Version{reported.generation + 1, 0}
+                                         : Version{reported.generation, reported.incarnation + 1});
+}
+
+// Handles an update about a process with this member's name and a higher generation. If it had this member's
+// address, it was an earlier process here whose clock was ahead. If it is dead or departed, it is gone. In
+// both cases this member takes a generation above it. Otherwise it is another process, alive at another
+// address: this member is superseded.
+void Membership::resolve_name_conflict(const MembershipUpdate& update) {
+  bool gone = update.state >= MemberState::Dead || update.member.address == self_.address;
+  if (gone == superseded_ || !gone) {
+    bool was_superseded = std::exchange(superseded_, !gone);
+    if (gone || !was_superseded) host_.on_superseded(superseded_, update.member.address);
   }
-  if (over) renew({update.member.version.generation + 1, 0});
+  if (gone) set_own_version({update.member.version.generation + 1, 0});
 }
 
-void Membership::renew(Version version) {
-  digest_ ^= mark(me_);
-  me_.version = version;
-  digest_ ^= mark(me_);
-  changed_at_ = now_;
-  spread(me_.name);
+void Membership::set_own_version(Version version) {
+  digest_ ^= version_hash(self_);
+  self_.version = version;
+  digest_ ^= version_hash(self_);
+  last_change_at_ = now_;
+  enqueue_update(self_.name);
 }
 
-void Membership::say(double now, Phase phase, std::map<std::string, std::string> facts) {
-  if (me_.phase == phase && me_.facts == facts) return;
+void Membership::announce(double now, Phase phase, std::map<std::string, std::string> facts) {
+  if (self_.phase == phase && self_.facts == facts) return;
   now_ = now;
-  me_.phase = phase, me_.facts = std::move(facts);
-  renew({me_.version.generation, me_.version.incarnation + 1});
-  ask_to_wake();
+  self_.phase = phase;
+  self_.facts = std::move(facts);
+  set_own_version({self_.version.generation, self_.version.incarnation + 1});
+  reschedule_timer();
 }
 
 void Membership::depart(double now) {
@@ -290,207 +314,220 @@
   now_ = now;
   if (!superseded_) {
     departed_ = true;
-    for (const std::string& name : random_live(std::size_t(timing_.fanout) * 2, ""))
-      send(others_.at(name).member.address, {}, me_.name);
+    for (const std::string& name : random_live_members(std::size_t(timing_.gossip_fanout) * 2, ""))
+      send(others_.at(name).member.address, {}, self_.name);
   }
   departed_ = true;
 }
 
 std::optional<MembershipUpdate> Membership::update_of(const std::string& name) const {
-  if (name == me_.name)
-    return MembershipUpdate{me_, departed_ ? MemberState::Departed : MemberState::Alive, me_.name};
+  if (name == self_.name)
+    return MembershipUpdate{self_, departed_ ? MemberState::Departed : MemberState::Alive, self_.name};
   auto known = others_.find(name);
   if (known == others_.end()) return std::nullopt;
   auto suspicion = suspicions_.find(name);
   return MembershipUpdate{known->second.member, known->second.state,
-                          suspicion == suspicions_.end() ? me_.name : suspicion->second.latest};
+                          suspicion == suspicions_.end() ? self_.name : suspicion->second.latest_accuser};
 }
 
-void Membership::send(const std::string& address, Message message, const std::string& first) {
-  message.from = me_.name;
+void Membership::send(const std::string& address, Message message, const std::string& first_update) {
+  message.from = self_.name;
   message.digest = digest_;
   std::size_t bytes = 0;
-  if (std::optional<MembershipUpdate> one = first.empty() ? std::nullopt : update_of(first)) {
-    bytes += max_encoded_size(*one);
-    message.updates.push_back(std::move(*one));
+  if (std::optional<MembershipUpdate> update =
+          first_update.empty() ? std::nullopt : update_of(first_update)) {
+    bytes += max_encoded_size(*update);
+    message.updates.push_back(std::move(*update));
   }
-  // The least told first, as many as fit.
+  // The updates that were sent least often come first, as many as fit.
   std::vector<std::pair<int, const std::string*>> order;
-  for (const auto& [name, passed_on] : queue_) {
-    if (name != first) order.push_back({passed_on, &name});
+  for (const auto& [name, times_sent] : update_queue_) {
+    if (name != first_update) order.push_back({times_sent, &name});
   }
-  std::size_t most = std::min<std::size_t>(order.size(), kMostBytes / 40);
-  std::partial_sort(order.begin(), order.begin() + std::ptrdiff_t(most), order.end(),
+  std::size_t candidates = std::min<std::size_t>(order.size(), kMaxUpdateBytes / 40);
+  std::partial_sort(order.begin(), order.begin() + std::ptrdiff_t(candidates), order.end(),
                     [](const auto& one, const auto& other) {
                       return one.first != other.first ? one.first < other.first : *one.second < *other.second;
                     });
-  const int enough = timing_.retransmit * int(std::ceil(std::log10(double(living_.size() + 2))));
-  std::vector<std::string> passed_on;
-  for (std::size_t i = 0; i < most; ++i) {
-    std::optional<MembershipUpdate> one = update_of(*order[i].second);
-    if (one && bytes + max_encoded_size(*one) > kMostBytes) break;
-    passed_on.push_back(*order[i].second);
-    if (one) bytes += max_encoded_size(*one), message.updates.push_back(std::move(*one));
+  const int max_sends =
+      timing_.retransmit_multiplier * int(std::ceil(std::log10(double(live_members_.size() + 2))));
+  std::vector<std::string> sent;
+  for (std::size_t i = 0; i < candidates; ++i) {
+    std::optional<MembershipUpdate> update = update_of(*order[i].second);
+    if (update && bytes + max_encoded_size(*update) > kMaxUpdateBytes) break;
+    sent.push_back(*order[i].second);
+    if (!update) continue;
+    bytes += max_encoded_size(*update);
+    message.updates.push_back(std::move(*update));
   }
-  for (const std::string& name : passed_on) {
-    if (++queue_[name] >= enough) queue_.erase(name);
+  for (const std::string& name : sent) {
+    if (++update_queue_[name] >= max_sends) update_queue_.erase(name);
   }
   host_.send(address, message);
 }
 
-void Membership::gossip() {
-  next_gossip_ = now_ + timing_.gossip;
-  if (queue_.empty()) return;
-  std::vector<std::string> to = random_live(std::size_t(timing_.fanout), "");
-  if (to.empty()) queue_.clear();
-  for (const std::string& name : to) {
-    if (!queue_.empty()) send(others_.at(name).member.address, {});
+void Membership::send_gossip() {
+  next_gossip_ = now_ + timing_.gossip_interval;
+  if (update_queue_.empty()) return;
+  std::vector<std::string> receivers = random_live_members(std::size_t(timing_.gossip_fanout), "");
+  if (receivers.empty()) update_queue_.clear();
+  for (const std::string& name : receivers) {
+    if (!update_queue_.empty()) send(others_.at(name).member.address, {});
   }
 }
 
-void Membership::count_in(Entry& entry) {
-  digest_ ^= mark(entry.member);
-  entry.place = living_.size();
-  living_.push_back(&entry);
+void Membership::add_live(Entry& entry) {
+  digest_ ^= version_hash(entry.member);
+  entry.live_index = live_members_.size();
+  live_members_.push_back(&entry);
 }
 
-void Membership::count_out(Entry& entry) {
-  digest_ ^= mark(entry.member);
-  (living_[entry.place] = living_.back())->place = entry.place;
-  living_.pop_back();
+void Membership::remove_live(Entry& entry) {
+  digest_ ^= version_hash(entry.member);
+  (live_members_[entry.live_index] = live_members_.back())->live_index = entry.live_index;
+  live_members_.pop_back();
 }
 
-// Drawn anew where one was drawn already: a look at all members for each rumour is most of what it would
-// cost.
-std::vector<std::string> Membership::random_live(std::size_t count, const std::string& but) {
+// Draws again on a duplicate, a limited number of times: copying and shuffling all members would dominate the
+// cost of a round of gossip.
+std::vector<std::string> Membership::random_live_members(std::size_t count, const std::string& excluded) {
   std::vector<std::string> chosen;
-  for (std::size_t tries = 8 * count; tries > 0 && !living_.empty() && chosen.size() < count; --tries) {
-    const std::string& name = living_[random(living_.size())]->member.name;
-    if (name != but && std::find(chosen.begin(), chosen.end(), name) == chosen.end()) chosen.push_back(name);
+  for (std::size_t draws = 8 * count; draws > 0 && !live_members_.empty() && chosen.size() < count; --draws) {
+    const std::string& name = live_members_[random(live_members_.size())]->member.name;
+    if (name != excluded && std::find(chosen.begin(), chosen.end(), name) == chosen.end())
+      chosen.push_back(name);
   }
   return chosen;
 }
 
-// ---- what comes
+// ---- received messages
 
 void Membership::receive(double now, const Message& message, const std::string& source) {
   now_ = now;
   if (departed_) return;
-  for (const MembershipUpdate& update : message.updates) hear(update);
-  // One that is superseded says nothing: its answers would be taken for the later process's.
-  if (superseded_ || message.from == me_.name) return ask_to_wake();
+  for (const MembershipUpdate& update : message.updates) process_update(update);
+  // A superseded member answers nothing: its answers would be taken for those of the process that replaced
+  // it.
+  if (superseded_ || message.from == self_.name) return reschedule_timer();
   switch (message.kind) {
     case Message::Kind::Ping:
-      if (message.about == me_.name) send(source, {Message::Kind::Ack, message.number, {}, {}, 0, {}});
+      if (message.target == self_.name) send(source, {Message::Kind::Ack, message.sequence, {}, {}, 0, {}});
       break;
     case Message::Kind::Ack: {
-      if (probe_ != Probe::Idle && message.number == number_)
-        apply_transition(kProbe, *this, probe_, Input::Answered);
-      std::erase_if(helping_, [&](const Helped& one) {
-        if (one.number != message.number) return false;
-        send(one.address, {Message::Kind::Ack, one.asked, {}, {}, 0, {}});
+      if (probe_ != Probe::Idle && message.sequence == probe_sequence_)
+        apply_transition(kProbeTransitions, *this, probe_, Input::Acked);
+      std::erase_if(proxied_pings_, [&](const ProxiedPing& ping) {
+        if (ping.sequence != message.sequence) return false;
+        send(ping.requester, {Message::Kind::Ack, ping.requester_sequence, {}, {}, 0, {}});
         return true;
       });
       break;
     }
     case Message::Kind::IndirectPing: {
-      auto known = others_.find(message.about);
-      if (known == others_.end() || helping_.size() >= kMostHelp) break;
-      double until = now + (timing_.probe - timing_.answer) * kHelpShare;
-      helping_.push_back({source, chance_(), message.number, until});
+      auto known = others_.find(message.target);
+      if (known == others_.end() || proxied_pings_.size() >= kMaxProxiedPings) break;
+      double nack_at = now + (timing_.probe_interval - timing_.ack_timeout) * kProxyTimeoutShare;
+      proxied_pings_.push_back({source, rng_(), message.sequence, nack_at});
       send(known->second.member.address,
-           {Message::Kind::Ping, helping_.back().number, {}, message.about, 0, {}});
+           {Message::Kind::Ping, proxied_pings_.back().sequence, {}, message.target, 0, {}});
       break;
     }
     case Message::Kind::Nack:
-      if (probe_ == Probe::Helped && message.number == number_) ++silent_helpers_;
+      if (probe_ == Probe::AwaitingIndirectAck && message.sequence == probe_sequence_) ++nacks_received_;
       break;
     case Message::Kind::Gossip:
     case Message::Kind::State: break;
   }
-  compare(message);
-  ask_to_wake();
+  compare_digest(message);
+  reschedule_timer();
 }
 
 Message Membership::state() const {
-  Message whole{Message::Kind::State, 0, me_.name, {}, digest_, {}};
-  if (!superseded_) whole.updates.push_back(*update_of(me_.name));
-  for (const auto& [name, entry] : others_) whole.updates.push_back(*update_of(name));
-  return whole;
+  Message state{Message::Kind::State, 0, self_.name, {}, digest_, {}};
+  if (!superseded_) state.updates.push_back(*update_of(self_.name));
+  for (const auto& [name, entry] : others_) state.updates.push_back(*update_of(name));
+  return state;
 }
 
-void Membership::exchange(double now, const Message& theirs) {
+void Membership::merge_state(double now, const Message& theirs) {
   now_ = now;
   if (departed_) return;
   for (MembershipUpdate update : theirs.updates) {
-    // Across a cut each side holds the other for dead. It is asked first: one that lives has time to say so.
+    // After a network partition each side believes the other dead. A member that is alive here is only
+    // suspected on such a report, which leaves it time to refute it.
     auto known = others_.find(update.member.name);
-    if (update.state == MemberState::Dead && known != others_.end() && live(known->second)) {
+    if (update.state == MemberState::Dead && known != others_.end() && is_live(known->second)) {
       update.state = MemberState::Suspect;
-      update.by = theirs.from;
+      update.reporter = theirs.from;
     }
-    hear(update);
+    process_update(update);
   }
-  ask_to_wake();
+  reschedule_timer();
 }
 
-// Views that still differ when there is nothing new are compared whole: news was lost, or a cut has healed.
-void Membership::compare(const Message& message) {
-  if (message.digest == digest_ || !queue_.empty() || now_ < changed_at_ + timing_.settle) return;
+// Starts a full state exchange if the sender's digest differs although nothing has changed for a while:
+// updates were lost, or a network partition has healed.
+void Membership::compare_digest(const Message& message) {
+  if (message.digest == digest_ || !update_queue_.empty() || now_ < last_change_at_ + timing_.settle_time)
+    return;
   auto known = others_.find(message.from);
-  if (now_ < synced_at_ + timing_.sync || known == others_.end()) return;
-  synced_at_ = now_;
+  if (now_ < last_sync_at_ + timing_.sync_interval || known == others_.end()) return;
+  last_sync_at_ = now_;
   ++counts_.syncs;
-  host_.sync(known->second.member.address);
+  host_.request_sync(known->second.member.address);
 }
 
 void Membership::reconnect() {
-  next_reconnect_ = now_ + timing_.reconnect * (0.5 + double(random(1000)) / 1000);
-  std::vector<const Entry*> lost;
-  std::set<std::string> reached;
+  next_reconnect_ = now_ + timing_.reconnect_interval * (0.5 + double(random(1000)) / 1000);
+  std::vector<const Entry*> dead;
+  std::set<std::string> live_addresses;
   for (const auto& [name, entry] : others_) {
-    if (entry.state == MemberState::Dead) lost.push_back(&entry);
-    if (live(entry)) reached.insert(entry.member.address);
+    if (entry.state == MemberState::Dead) dead.push_back(&entry);
+    if (is_live(entry)) live_addresses.insert(entry.member.address);
   }
-  if (superseded_ && !reached.empty()) {  // the later process's end is heard of by asking
-    auto any = reached.begin();
-    std::advance(any, random(reached.size()));
-    return host_.sync(*any);
+  if (superseded_ && !live_addresses.empty()) {
+    // Nobody sends updates to a superseded member: it has to ask whether the other process is gone.
+    auto any = live_addresses.begin();
+    std::advance(any, random(live_addresses.size()));
+    return host_.request_sync(*any);
   }
-  // So that each one lost is tried as often whatever the number of those who could.
-  auto turn = [this](std::size_t lost) {
-    return double(random(1000)) / 1000 < 2 * double(lost) / double(living_.size() + 1);
+  // Each absent member is tried at the same rate whatever the number of live members that try.
+  auto is_own_turn = [this](std::size_t absent) {
+    return double(random(1000)) / 1000 < 2 * double(absent) / double(live_members_.size() + 1);
   };
-  if (!lost.empty() && !superseded_ && turn(lost.size())) {
-    const Member& one = lost[random(lost.size())]->member;
-    send(one.address, {Message::Kind::Ping, chance_(), {}, one.name, 0, {}}, one.name);
+  if (!dead.empty() && !superseded_ && is_own_turn(dead.size())) {
+    const Member& member = dead[random(dead.size())]->member;
+    send(member.address, {Message::Kind::Ping, rng_(), {}, member.name, 0, {}}, member.name);
   }
-  std::vector<std::string> away;
+  std::vector<std::string> absent_seeds;
   for (const std::string& seed : seeds_) {
-    if (!reached.contains(seed)) away.push_back(seed);
+    if (!live_addresses.contains(seed)) absent_seeds.push_back(seed);
   }
-  if (!away.empty() && turn(away.size())) host_.sync(away[random(away.size())]);
+  if (!absent_seeds.empty() && is_own_turn(absent_seeds.size()))
+    host_.request_sync(absent_seeds[random(absent_seeds.size())]);
 }
 
-void Membership::forget() {
-  next_forget_ = now_ + timing_.forget / 10;
-  bool full = others_.size() >= kMost;
+void Membership::forget_dead_members() {
+  next_forget_ = now_ + timing_.forget_after / 10;
+  bool full = others_.size() >= kMaxMembers;
   auto oldest = others_.end();
-  for (auto at = others_.begin(); at != others_.end();) {
-    bool gone = !live(at->second);
-    if (gone && now_ > at->second.since + timing_.forget) {
-      queue_.erase(at->first);
-      at = others_.erase(at);
+  for (auto it = others_.begin(); it != others_.end();) {
+    bool gone = !is_live(it->second);
+    if (gone && now_ > it->second.since + timing_.forget_after) {
+      update_queue_.erase(it->first);
+      it = others_.erase(it);
       continue;
     }
-    if (gone && (oldest == others_.end() || at->second.since < oldest->second.since)) oldest = at;
-    ++at;
+    if (gone && (oldest == others_.end() || it->second.since < oldest->second.since)) oldest = it;
+    ++it;
+  }
+  if (full && others_.size() >= kMaxMembers && oldest != others_.end()) {
+    update_queue_.erase(oldest->first);
+    others_.erase(oldest);
   }
-  if (full && others_.size() >= kMost && oldest != others_.end())
-    queue_.erase(oldest->first), others_.erase(oldest);
 }
 
-std::uint64_t Membership::mark(const Member& member) const {
+std::uint64_t Membership::version_hash(const Member& member) const {
   std::uint64_t seed =
       XXH64(&member.version.generation, sizeof member.version.generation, member.version.incarnation);
   return XXH64(member.name.data(), member.name.size(), seed);
--- a/src/fleet/membership/membership_measure.cpp
+++ b/src/fleet/membership/membership_measure.cpp
@@ -1,4 +1,5 @@
-// Figures of the detector at sizes that no machine has processes for: fleet_measure [SEED [MOST [LEAST]]]
+// Measures the failure detector on simulated fleets of 10 to 1,000 members: false deaths, detection times and
+// traffic. Usage: fleet_measure [SEED [MOST [LEAST]]], where MOST and LEAST limit the sizes of the fleets.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -10,128 +11,131 @@
 
 namespace {
 
-double at(std::vector<double> all, double share) {
-  if (all.empty()) return -1;
-  std::sort(all.begin(), all.end());
-  return all[std::min(all.size() - 1, std::size_t(share * double(all.size())))];
+double percentile(std::vector<double> samples, double share) {
+  if (samples.empty()) return -1;
+  std::sort(samples.begin(), samples.end());
+  return samples[std::min(samples.size() - 1, std::size_t(share * double(samples.size())))];
 }
 
-struct Setting {
+struct Disturbance {
   const char* name;
   double loss;
   bool stalls;
 };
 
-void begin(World& world, int members) {
-  for (int i = 0; i < members; ++i) world.start(i, 1);
-  if (world.until_agreed(std::size_t(members), 60) < 0) std::puts("  (never agreed at the start)");
+void start_members(SimulatedFleet& fleet, int members) {
+  for (int i = 0; i < members; ++i) fleet.start(i, 1);
+  if (fleet.until_agreed(std::size_t(members), 60) < 0) std::puts("  (never agreed at the start)");
 }
 
-// A tenth of the members stand still for 1 to 4 s, again and again.
-void stall(World& world, int members) {
-  world.at(world.now + 1, [&world, members] {
-    for (int i = 0; i < members && world.stalls; i += 10) {
-      if (world.draw() < 0.2) world.node(i).still_until = world.now + 1 + 3 * world.draw();
+// Repeatedly stalls a tenth of the members for 1 to 4 s.
+void schedule_stalls(SimulatedFleet& fleet, int members) {
+  fleet.at(fleet.now + 1, [&fleet, members] {
+    for (int i = 0; i < members && fleet.injects_stalls; i += 10) {
+      if (fleet.random_share() < 0.2) fleet.node(i).stalled_until = fleet.now + 1 + 3 * fleet.random_share();
     }
-    stall(world, members);
+    schedule_stalls(fleet, members);
   });
 }
 
-void calm(int members, const Setting& setting, World& world) {
-  double running = 0, still = 0;  // deaths of members that ran, and of some that stood still when it was said
-  world.on_changed = [&](World::Node& at, const Member& of, MemberState state) {
+void measure_false_deaths(int members, const Disturbance& disturbance, SimulatedFleet& fleet) {
+  double running = 0, stalled = 0;  // false deaths of members that ran, and of members that were stalled
+  fleet.on_changed = [&](SimulatedFleet::Node& observer, const Member& member, MemberState state) {
     if (state != MemberState::Dead) return;
-    bool stands = world.by_address.at(of.address)->still_until > world.now - 1;
-    (stands ? still : running) += 1.0 / double(at.membership.live());
+    bool was_stalled = fleet.by_address.at(member.address)->stalled_until > fleet.now - 1;
+    (was_stalled ? stalled : running) += 1.0 / double(observer.membership.live_count());
   };
-  world.links.loss = setting.loss;
-  world.stalls = setting.stalls;
-  world.messages = world.bytes = world.synced = 0;
+  fleet.network.loss = disturbance.loss;
+  fleet.injects_stalls = disturbance.stalls;
+  fleet.messages = fleet.bytes = fleet.synced_updates = 0;
   double seconds = members > 500 ? 60 : 600;
-  world.run(seconds);
+  fleet.run(seconds);
   std::printf(
-      "%5d %-16s false deaths an hour %6.1f, of still ones %7.1f   a second and member: %5.2f messages %6.0f "
+      "%5d %-16s false deaths per hour %6.1f, of stalled members %7.1f   per second and member: %5.2f "
+      "messages %6.0f "
       "bytes\n",
-      members, setting.name, running * 3600 / seconds, still * 3600 / seconds,
-      double(world.messages) / seconds / members,
-      double(world.bytes + world.synced * 60) / seconds / members);
+      members, disturbance.name, running * 3600 / seconds, stalled * 3600 / seconds,
+      double(fleet.messages) / seconds / members,
+      double(fleet.bytes + fleet.synced_updates * 60) / seconds / members);
   std::fflush(stdout);
-  world.links.loss = 0, world.stalls = false;
-  world.run(30);
+  fleet.network.loss = 0;
+  fleet.injects_stalls = false;
+  fleet.run(30);
 }
 
-void deaths(int members, double loss, World& world, int& next) {
-  std::vector<double> first, all;
-  world.links.loss = loss;
-  world.run(2);
-  for (int turn = 0; turn < (members > 500 ? 10 : members / 10 + 2); ++turn) {
+void measure_detection(int members, double loss, SimulatedFleet& fleet, int& next) {
+  std::vector<double> first_detection, detection;
+  fleet.network.loss = loss;
+  fleet.run(2);
+  for (int round = 0; round < (members > 500 ? 10 : members / 10 + 2); ++round) {
     int victim = next++;
-    double died = world.now, heard = -1;
-    world.on_changed = [&](World::Node&, const Member& member, MemberState state) {
-      if (state != MemberState::Dead || member.name != World::name_of(victim)) return;
-      if (heard < 0) heard = world.now - died;
-      all.push_back(world.now - died);
+    double died = fleet.now, detected = -1;
+    fleet.on_changed = [&](SimulatedFleet::Node&, const Member& member, MemberState state) {
+      if (state != MemberState::Dead || member.name != SimulatedFleet::name_of(victim)) return;
+      if (detected < 0) detected = fleet.now - died;
+      detection.push_back(fleet.now - died);
     };
-    world.stop(victim);
-    world.run(25);
-    if (heard >= 0) first.push_back(heard);
+    fleet.stop(victim);
+    fleet.run(25);
+    if (detected >= 0) first_detection.push_back(detected);
   }
   std::printf("%5d loss %2.0f%%  death known first %4.1f %4.1f  at each %4.1f %4.1f s (median, p99)\n",
-              members, loss * 100, at(first, 0.5), at(first, 0.99), at(all, 0.5), at(all, 0.99));
+              members, loss * 100, percentile(first_detection, 0.5), percentile(first_detection, 0.99),
+              percentile(detection, 0.5), percentile(detection, 0.99));
   std::fflush(stdout);
 }
 
-void cuts(int members, int parts, std::uint64_t seed) {
-  World world(seed);
-  begin(world, members);
-  world.cut = [parts](int from, int to) { return from % parts != to % parts; };
-  double cut = world.until_agreed(std::size_t(members / parts), 0);
-  double from = world.now;
-  for (cut = -1; cut < 0 && world.now < from + 300; world.run(1)) {
-    bool over = true;
-    for (const auto& [address, node] : world.by_address)
-      over &= node->membership.live() <= std::size_t(members / parts + 1);
-    if (over) cut = world.now - from;
+void measure_partition(int members, int parts, std::uint64_t seed) {
+  SimulatedFleet fleet(seed);
+  start_members(fleet, members);
+  fleet.is_blocked = [parts](int from, int to) { return from % parts != to % parts; };
+  double partition_known = fleet.until_agreed(std::size_t(members / parts), 0);
+  double from = fleet.now;
+  for (partition_known = -1; partition_known < 0 && fleet.now < from + 300; fleet.run(1)) {
+    bool all_know = true;
+    for (const auto& [address, node] : fleet.by_address)
+      all_know &= node->membership.live_count() <= std::size_t(members / parts + 1);
+    if (all_know) partition_known = fleet.now - from;
   }
-  world.cut = nullptr;
-  double healed = world.until_agreed(std::size_t(members), 120);
-  std::printf("%5d cut in %d  known to all after %5.0f s, healed after %4.1f s\n", members, parts, cut,
-              healed);
+  fleet.is_blocked = nullptr;
+  double healed = fleet.until_agreed(std::size_t(members), 120);
+  std::printf("%5d partitioned in %d  known to all after %5.0f s, healed after %4.1f s\n", members, parts,
+              partition_known, healed);
 }
 
-void killed(int members, std::uint64_t seed) {
-  World world(seed);
-  begin(world, members);
-  int left = members * 3 / 10;
-  for (int i = left; i < members; ++i) world.stop(i);
+void measure_mass_kill(int members, std::uint64_t seed) {
+  SimulatedFleet fleet(seed);
+  start_members(fleet, members);
+  int survivors = members * 3 / 10;
+  for (int i = survivors; i < members; ++i) fleet.stop(i);
   std::printf("%5d 70%% killed  known to all after %5.1f s\n", members,
-              world.until_agreed(std::size_t(left), 300));
+              fleet.until_agreed(std::size_t(survivors), 300));
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  std::uint64_t seed = count > 1 ? std::strtoull(words[1], nullptr, 10) : 1;
-  int most = count > 2 ? std::atoi(words[2]) : 1000, least = count > 3 ? std::atoi(words[3]) : 0;
-  constexpr Setting kSettings[] = {{"no loss", 0, false},
-                                   {"loss 5%", 0.05, false},
-                                   {"loss 20%", 0.2, false},
-                                   {"stalls", 0, true},
-                                   {"stalls, loss 5%", 0.05, true}};
+int main(int argc, char** argv) {
+  std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
+  int most = argc > 2 ? std::atoi(argv[2]) : 1000, least = argc > 3 ? std::atoi(argv[3]) : 0;
+  constexpr Disturbance kDisturbances[] = {{"no loss", 0, false},
+                                           {"loss 5%", 0.05, false},
+                                           {"loss 20%", 0.2, false},
+                                           {"stalls", 0, true},
+                                           {"stalls, loss 5%", 0.05, true}};
   for (int members : {10, 100, 1000}) {
     if (members > most || members < least) continue;
     {
-      World world(seed);
-      begin(world, members);
-      stall(world, members);
-      for (const Setting& setting : kSettings) calm(members, setting, world);
+      SimulatedFleet fleet(seed);
+      start_members(fleet, members);
+      schedule_stalls(fleet, members);
+      for (const Disturbance& disturbance : kDisturbances) measure_false_deaths(members, disturbance, fleet);
     }
-    World world(seed + 1);
-    begin(world, members);
+    SimulatedFleet fleet(seed + 1);
+    start_members(fleet, members);
     int victim = 1;
-    for (double loss : {0.0, 0.05, 0.2}) deaths(members, loss, world, victim);
-    killed(members, seed);
-    for (int parts : {2, 3}) cuts(members, parts, seed);
+    for (double loss : {0.0, 0.05, 0.2}) measure_detection(members, loss, fleet, victim);
+    measure_mass_kill(members, seed);
+    for (int parts : {2, 3}) measure_partition(members, parts, seed);
     std::fflush(stdout);
   }
 }
--- a/src/fleet/membership/simulated_fleet.h
+++ b/src/fleet/membership/simulated_fleet.h
@@ -1,4 +1,5 @@
-// Thousands of members in one process: a seeded scheduler carries their messages, late, twice or never.
+// A simulated fleet of up to thousands of members in one process. A seeded scheduler delivers their messages
+// with delays and, as configured, with loss, duplication, network partitions and stalled members.
 #pragma once
 
 #undef NDEBUG
@@ -11,78 +12,80 @@
 
 namespace puffinvane::fleet::test {
 
-class World {
+class SimulatedFleet {
  public:
-  struct Links {
-    double loss = 0, twice = 0, delay = 0.001, jitter = 0.004;
+  struct Network {
+    double loss = 0, duplication = 0;  // probabilities
+    double delay = 0.001, jitter = 0.004;
   };
   struct Node final : Membership::Host {
-    Node(World& world, int index, Member me, std::vector<std::string> seeds, const DetectorTiming& timing,
-         std::uint64_t seed)
-        : world(world), index(index), membership(std::move(me), std::move(seeds), timing, seed, *this) {}
+    Node(SimulatedFleet& fleet, int index, Member self, std::vector<std::string> seeds,
+         const DetectorTiming& timing, std::uint64_t seed)
+        : fleet(fleet), index(index), membership(std::move(self), std::move(seeds), timing, seed, *this) {}
     void send(const std::string& address, const Message& message) override {
-      ++world.messages;
-      world.bytes += 60;
-      for (const MembershipUpdate& update : message.updates) world.bytes += max_encoded_size(update);
-      world.carry(*this, address, message);
+      ++fleet.messages;
+      fleet.bytes += 60;
+      for (const MembershipUpdate& update : message.updates) fleet.bytes += max_encoded_size(update);
+      fleet.transmit(*this, address, message);
     }
-    void sync(const std::string& address) override { world.sync(*this, address); }
-    void wake(double at) override {
-      world.at(at, [this] { world.wake(*this); });
+    void request_sync(const std::string& address) override { fleet.sync(*this, address); }
+    void schedule_timer(double at) override {
+      fleet.at(at, [this] { fleet.on_timer(*this); });
     }
-    void changed(const Member& member, MemberState state) override {
-      if (world.on_changed) world.on_changed(*this, member, state);
+    void on_member_changed(const Member& member, MemberState state) override {
+      if (fleet.on_changed) fleet.on_changed(*this, member, state);
     }
-    void superseded(bool yes, const std::string&) override { superseded_now = yes; }
-    World& world;
+    void on_superseded(bool now_superseded, const std::string&) override { superseded = now_superseded; }
+    SimulatedFleet& fleet;
     int index;
-    bool up = true, superseded_now = false;
-    double still_until = 0;  // it stands still: what comes waits
+    bool running = true, superseded = false;
+    double stalled_until = 0;  // timers and messages that are due earlier are handled then
     Membership membership;
   };
 
-  explicit World(std::uint64_t seed) : chance(seed) {}
+  explicit SimulatedFleet(std::uint64_t seed) : rng(seed) {}
 
   static std::string name_of(int index) { return "n" + std::to_string(index); }
   static std::string address_of(int index) { return "10.0.0.1:" + std::to_string(index); }
 
-  // The process of that place; what was there before is gone.
-  Node& start(int index, std::uint64_t life, std::vector<std::string> seeds = {address_of(0)},
+  // Starts a member at the address of that index, in place of one that runs there.
+  Node& start(int index, std::uint64_t generation, std::vector<std::string> seeds = {address_of(0)},
               const std::string& name = "") {
-    Member me;
-    me.name = name.empty() ? name_of(index) : name;
-    me.address = address_of(index);
-    me.version.generation = life;
-    me.phase = Phase::Serving;
+    Member self;
+    self.name = name.empty() ? name_of(index) : name;
+    self.address = address_of(index);
+    self.version.generation = generation;
+    self.phase = Phase::Serving;
     stop(index);
-    auto node = std::make_unique<Node>(*this, index, me, std::move(seeds), timing, chance());
+    auto node = std::make_unique<Node>(*this, index, self, std::move(seeds), timing, rng());
     Node& started = *node;
-    by_address[me.address] = &started;
-    all.push_back(std::move(node));
+    by_address[self.address] = &started;
+    nodes.push_back(std::move(node));
     started.membership.start(now);
     return started;
   }
   void stop(int index) {
-    auto there = by_address.find(address_of(index));
-    if (there == by_address.end()) return;
-    there->second->up = false;
-    by_address.erase(there);
+    auto found = by_address.find(address_of(index));
+    if (found == by_address.end()) return;
+    found->second->running = false;
+    by_address.erase(found);
   }
   Node& node(int index) { return *by_address.at(address_of(index)); }
 
   void run(double seconds) {
     double until = now + seconds;
     while (!events.empty() && events.top().at <= until) {
-      auto what = events.top().what;
+      auto action = events.top().action;
       now = std::max(now, events.top().at);
       events.pop();
-      what();
+      action();
     }
     now = until;
   }
-  // For how long it took until all hold the same; negative: longer than that.
-  double until_agreed(std::size_t members, double most) {
-    for (double from = now; now < from + most; run(0.1)) {
+  // Runs until all members agree that there are this many. Returns the seconds that it took, or a negative
+  // number after max_seconds.
+  double until_agreed(std::size_t members, double max_seconds) {
+    for (double from = now; now < from + max_seconds; run(0.1)) {
       if (agreed(members)) return now - from;
     }
     return -1;
@@ -90,12 +93,13 @@
   bool agreed(std::size_t members) const {
     std::uint64_t first = by_address.begin()->second->membership.digest();
     for (const auto& [address, node] : by_address) {
-      if (node->superseded_now) continue;
-      if (node->membership.live() != members || node->membership.digest() != first) return false;
+      if (node->superseded) continue;
+      if (node->membership.live_count() != members || node->membership.digest() != first) return false;
     }
     return true;
   }
-  std::size_t holding(const std::string& name, MemberState state) const {
+  // The number of running members that have this one in that state.
+  std::size_t count_seen_as(const std::string& name, MemberState state) const {
     std::size_t count = 0;
     for (const auto& [address, node] : by_address) {
       auto known = node->membership.others().find(name);
@@ -104,61 +108,63 @@
     return count;
   }
 
-  void at(double when, std::function<void()> what) {
-    events.push({std::max(when, now), ++turns, std::move(what)});
+  void at(double when, std::function<void()> action) {
+    events.push({std::max(when, now), ++event_count, std::move(action)});
   }
-  void wake(Node& node) {
-    if (!node.up) return;
-    if (now < node.still_until) return at(node.still_until + 1e-6, [this, &node] { wake(node); });
-    node.membership.woken(now);
+  void on_timer(Node& node) {
+    if (!node.running) return;
+    if (now < node.stalled_until) return at(node.stalled_until + 1e-6, [this, &node] { on_timer(node); });
+    node.membership.on_timer(now);
   }
   void deliver(Node& to, Message message, std::string source) {
-    if (!to.up) return;
-    if (now < to.still_until)
-      return at(to.still_until, [this, &to, message, source] { deliver(to, message, source); });
+    if (!to.running) return;
+    if (now < to.stalled_until)
+      return at(to.stalled_until, [this, &to, message, source] { deliver(to, message, source); });
     to.membership.receive(now, message, source);
   }
-  double draw() { return double(chance()) / 4294967296.0; }
-  void carry(Node& from, const std::string& address, const Message& message) {
-    auto there = by_address.find(address);
-    if (there == by_address.end() || (cut && cut(from.index, there->second->index))) return;
-    for (int copies = 1 + (draw() < links.twice); copies > 0; --copies) {
-      if (draw() < links.loss) continue;
-      Node* to = there->second;
-      at(now + links.delay + draw() * links.jitter,
+  double random_share() { return double(rng()) / 4294967296.0; }  // from 0 to 1
+  void transmit(Node& from, const std::string& address, const Message& message) {
+    auto found = by_address.find(address);
+    if (found == by_address.end() || (is_blocked && is_blocked(from.index, found->second->index))) return;
+    for (int copies = 1 + (random_share() < network.duplication); copies > 0; --copies) {
+      if (random_share() < network.loss) continue;
+      Node* to = found->second;
+      at(now + network.delay + random_share() * network.jitter,
          [this, to, message, source = address_of(from.index)] { deliver(*to, message, source); });
     }
   }
   void sync(Node& from, const std::string& address) {
-    auto there = by_address.find(address);
-    if (there == by_address.end() || there->second == &from) return;
-    Node* to = there->second;
-    if (cut && (cut(from.index, to->index) || cut(to->index, from.index))) return;
+    auto found = by_address.find(address);
+    if (found == by_address.end() || found->second == &from) return;
+    Node* to = found->second;
+    if (is_blocked && (is_blocked(from.index, to->index) || is_blocked(to->index, from.index))) return;
     at(now + 0.01, [this, to, &from] {
-      if (!from.up || !to->up || now < to->still_until || now < from.still_until) return;
-      Message mine = from.membership.state(), theirs = to->membership.state();
-      synced += mine.updates.size() + theirs.updates.size();
-      to->membership.exchange(now, mine);
-      from.membership.exchange(now, theirs);
+      if (!from.running || !to->running || now < to->stalled_until || now < from.stalled_until) return;
+      Message from_state = from.membership.state(), to_state = to->membership.state();
+      synced_updates += from_state.updates.size() + to_state.updates.size();
+      to->membership.merge_state(now, from_state);
+      from.membership.merge_state(now, to_state);
     });
   }
 
   struct Event {
     double at;
-    std::uint64_t turn;
-    std::function<void()> what;
-    bool operator<(const Event& other) const { return std::pair(at, turn) > std::pair(other.at, other.turn); }
+    std::uint64_t number;  // events of the same time run in the order in which they were scheduled
+    std::function<void()> action;
+    bool operator<(const Event& other) const {
+      return std::pair(at, number) > std::pair(other.at, other.number);
+    }
   };
-  pcg32 chance;
+  pcg32 rng;
   DetectorTiming timing;
-  Links links;
-  bool stalls = false;  // for whoever makes members stand still
-  std::function<bool(int from, int to)> cut;
+  Network network;
+  bool injects_stalls = false;                       // read by tests that schedule stalls, not used here
+  std::function<bool(int from, int to)> is_blocked;  // a network partition; empty: none
   std::function<void(Node&, const Member&, MemberState)> on_changed;
   double now = 0;
-  std::uint64_t turns = 0, messages = 0, bytes = 0, synced = 0;
+  std::uint64_t event_count = 0, messages = 0, bytes = 0, synced_updates = 0;
   std::priority_queue<Event> events;
-  std::vector<std::unique_ptr<Node>> all;
+  std::vector<std::unique_ptr<Node>> nodes;
   std::map<std::string, Node*> by_address;
 };
 
--- a/src/fleet/shares/shares.h
+++ b/src/fleet/shares/shares.h
@@ -1,6 +1,7 @@
-// From who is there to the part of each: which endpoints a sidecar uses, and how much of it each gets. All
-// who hold one membership and one list cut alike. No state: the cut is a function of names and sizes, so that
-// nothing has to be agreed on but these. docs/fleet-design.md has the bounds and why this way.
+// Divides the fleet's load: which endpoints each sidecar uses and how much load it sends to each, and which
+// part of a fleet-wide budget it may spend. Both are pure functions of names and weights, so all sidecars
+// that know the same members and the same endpoint list get the same result without further coordination.
+// docs/fleet-design.md has the bounds and the alternatives.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +12,40 @@
 
 namespace puffinvane::fleet {
 
+// A sidecar with the load that it brings, or an endpoint with the load that it can take, relative to the
+// others.
 struct Participant {
   std::string_view name;
-  double weight = 1;  // of what it brings (a sidecar), or can take (an endpoint), against the others'
+  double weight = 1;
 };
 
 struct Pair {
-  int sidecar = 0, endpoint = 0;
-  double load = 0;  // of all that the fleet brings, which is 1
+  int sidecar = 0, endpoint = 0;  // indices
+  double load = 0;                // as a fraction of the load of the whole fleet
 };
 
 struct Assignment {
-  std::vector<Pair> pairs;  // by sidecar, then endpoint
-  double max_overload = 1;  // the most loaded endpoint over what its size is due
+  std::vector<Pair> pairs;  // sorted by sidecar, then endpoint
+  double max_overload = 1;  // of the most overloaded endpoint: its load over what its weight entitles it to
 };
 
-constexpr int kMinSidecarsPerEndpoint = 4;  // of an endpoint, as far as there are as many
-constexpr int kMinEndpointsPerSidecar = 4;  // of a sidecar
+// Fewer only if there are fewer in all.
+constexpr int kMinSidecarsPerEndpoint = 4;
+constexpr int kMinEndpointsPerSidecar = 4;
 
 Assignment assign_endpoints(std::span<const Participant> sidecars, std::span<const Participant> endpoints);
 
-// The numbers a budget may be spent by, which are others than those that share: a member that is not heard of
-// may be across a cut, where it spends its part too.
+// What a member knows of the others that may spend the same budget. These are more than the live members: one
+// that appears dead may be on the other side of a network partition and go on spending its part.
 struct BudgetView {
-  std::size_t live = 1;       // with this one
-  std::size_t unheard = 0;    // dead by all appearances, not known to have left, not forgotten
-  std::size_t newcomers = 0;  // of the live, whose lives are younger than the oldest of those silences
-  bool newcomer = false;      // this one is of them
-  std::size_t given = 1;      // in the settings
+  std::size_t live = 1;         // this member included
+  std::size_t unreachable = 0;  // dead as far as known: neither departed nor forgotten
+  std::size_t recently_started =
+      0;  // live members that started after the first of the unreachable fell silent
+  bool is_recently_started = false;  // whether this member is one of them
+  std::size_t configured = 1;        // the number of members in the settings
 };
-// Of a budget that the fleet has as a whole, the part that this one may spend.
-double budget_share(const BudgetView& census);
+// The part of a fleet-wide budget that this member may spend.
+double budget_share(const BudgetView& view);
 
 }  // namespace puffinvane::fleet
--- a/src/fleet/transport/transport.cpp
+++ b/src/fleet/transport/transport.cpp
@@ -7,35 +7,41 @@
 namespace puffinvane::fleet {
 
 namespace {
-constexpr int kAtOnce = 16;       // datagrams a turn: then the requests have theirs
-constexpr double kWindow = 0.05;  // of which peers get
-constexpr double kShare = 0.1;    // this much of the loop; what comes beyond waits in the socket, or is lost
-constexpr std::size_t kMostSessions = 4;  // of each kind: begun here, and by others
-constexpr double kPatience = 3;           // for a whole state, there and back
-constexpr std::size_t kLength = 4;
-
-std::string text_of(GSocketAddress* address) {
+constexpr int kMaxDatagramsPerTurn = 16;  // then the loop handles other events, such as requests
+// Datagrams may take this share of the loop's time in each window (seconds). Beyond that they wait in the
+// socket buffer and are lost once it is full.
+constexpr double kWindow = 0.05;
+constexpr double kMaxLoopShare = 0.1;
+constexpr std::size_t kMaxSessions = 4;  // each of sessions initiated here and accepted from others
+constexpr double kSessionTimeout = 3;    // seconds, for the exchange of full states
+constexpr std::size_t kLengthBytes = 4;
+
+std::string to_text(GSocketAddress* address) {
   if (!address || !G_IS_INET_SOCKET_ADDRESS(address)) return {};
   auto* inet = G_INET_SOCKET_ADDRESS(address);
   GInetAddress* host = g_inet_socket_address_get_address(inet);
   char* text = g_inet_address_to_string(host);
-  bool six = g_inet_address_get_family(host) == G_SOCKET_FAMILY_IPV6;
-  std::string written = six ? "[" + std::string(text) + "]" : std::string(text);
+  bool is_ipv6 = g_inet_address_get_family(host) == G_SOCKET_FAMILY_IPV6;
+  std::string result = is_ipv6 ? "[" + std::string(text) + "]" : std::string(text);
   g_free(text);
-  return written + ":" + std::to_string(g_inet_socket_address_get_port(inet));
+  return result + ":" + std::to_string(g_inet_socket_address_get_port(inet));
 }
 }  // namespace
 
-// A whole state each way over one stream: four bytes of length, highest first, and an encoded message.
+// Exchanges full states over one TCP connection. Each side sends a length of four bytes, big-endian, and an
+// encoded message. The initiating side sends first and closes the connection after the answer.
 class Transport::PeerSession final : TcpConnection::Owner {
  public:
-  PeerSession(Transport& link, bool asks) : asks(asks), transport_(link), tcp_(link.loop_, *this) {}
-  bool ask(const std::string& address) { return tcp_.connect(address) == TcpConnection::ConnectStart::Begun; }
-  void answer(Ref<GSocket> socket) { tcp_.adopt(std::move(socket)); }
-  const bool asks;
+  PeerSession(Transport& transport, bool initiates)
+      : initiates(initiates), transport_(transport), tcp_(transport.loop_, *this) {}
+  bool connect(const std::string& address) {
+    return tcp_.connect(address) == TcpConnection::ConnectStart::Begun;
+  }
+  void accept(Ref<GSocket> socket) { tcp_.adopt(std::move(socket)); }
+  const bool initiates;
 
  private:
-  void say() {
+  void send_state() {
     std::string state = encode(transport_.owner_.state(), transport_.key_);
     std::string frame;
     for (int shift = 24; shift >= 0; shift -= 8) frame += char(state.size() >> shift & 0xff);
@@ -44,31 +50,38 @@
     chain.add(state);
     tcp_.send(std::move(chain));
   }
-  void on_connected() override { say(); }
+  void on_connected() override { send_state(); }
   void on_received(std::string_view bytes) override {
-    if (over_) return;  // or who goes on sending would fill the memory
-    heard_ += bytes;
-    if (heard_.size() < kLength) return;
+    if (complete_) return;  // a peer that goes on sending must not fill the memory
+    received_ += bytes;
+    if (received_.size() < kLengthBytes) return;
     std::size_t length = 0;
-    for (std::size_t i = 0; i < kLength; ++i) length = length << 8 | std::uint8_t(heard_[i]);
-    if (length > kMaxStateBytes) return ++transport_.counts_.malformed, transport_.end(*this);
-    if (heard_.size() < kLength + length) return;
+    for (std::size_t i = 0; i < kLengthBytes; ++i) length = length << 8 | std::uint8_t(received_[i]);
+    if (length > kMaxStateBytes) {
+      ++transport_.counts_.malformed;
+      return transport_.end_session(*this);
+    }
+    if (received_.size() < kLengthBytes + length) return;
     DecodeError error;
     std::optional<Message> state =
-        decode(std::string_view(heard_).substr(kLength, length), transport_.key_, error);
-    over_ = true;
-    if (!state) return transport_.count(error), transport_.end(*this);
-    ++transport_.counts_.states;
-    if (!asks) say();  // as it was: what the other says is its own to judge
+        decode(std::string_view(received_).substr(kLengthBytes, length), transport_.key_, error);
+    complete_ = true;
+    if (!state) {
+      transport_.count_error(error);
+      return transport_.end_session(*this);
+    }
+    ++transport_.counts_.states_received;
+    // The answer is the state before the merge: the peer merges this side's knowledge with its own itself.
+    if (!initiates) send_state();
     transport_.owner_.on_state(*state);
-    if (asks) transport_.end(*this);  // who asked closes, once it has it all
+    if (initiates) transport_.end_session(*this);
   }
-  void on_ended(TcpConnection::End) override { transport_.end(*this); }
+  void on_ended(TcpConnection::End) override { transport_.end_session(*this); }
 
   Transport& transport_;
   TcpConnection tcp_;
-  std::string heard_;
-  bool over_ = false;
+  std::string received_;
+  bool complete_ = false;  // the peer's state has been received
 };
 
 Transport::Transport(Loop& loop, Owner& owner, std::string key)
@@ -96,81 +109,86 @@
   loop_.descriptors().opened();
   try {
     listener_.open(address);
-  } catch (...) {  // tried again, it would count each time, and hold half of the address
+  } catch (...) {
+    // The caller may retry: without this each attempt would count another descriptor, and the UDP half of the
+    // address would stay bound.
     loop_.descriptors().closed();
     socket_.reset();
     throw;
   }
-  listen();
+  resume();
 }
 
 void Transport::close() {
   if (!socket_) return;
   listener_.close();
   sessions_.clear();
-  asked_ = answered_ = 0;
+  initiated_sessions_ = accepted_sessions_ = 0;
   loop_.unwatch(g_socket_get_fd(socket_.get()));
   loop_.descriptors().closed();
   socket_.reset();
 }
 
-void Transport::listen() {
+void Transport::resume() {
   paused_ = false;
   if (socket_) loop_.watch(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
 }
 
-// A flood may not hold up requests: what is over the share waits in the socket's buffer, and then is lost.
+// Stops reading datagrams until the window ends, so that a flood of them doesn't delay requests.
 void Transport::pause() {
   paused_ = true;
   ++counts_.pauses;
   loop_.unwatch(g_socket_get_fd(socket_.get()));
-  loop_.at(window_ + kWindow, alive_.guard([this] { listen(); }));
+  loop_.at(window_start_ + kWindow, alive_.guard([this] { resume(); }));
 }
 
 void Transport::on_ready(std::uint32_t) {
-  double begun = loop_.now();
-  if (begun > window_ + kWindow) window_ = begun, spent_ = 0;
-  for (int i = 0; i < kAtOnce && receive_one(); ++i) {
+  double began = loop_.now();
+  if (began > window_start_ + kWindow) {
+    window_start_ = began;
+    spent_ = 0;
+  }
+  for (int i = 0; i < kMaxDatagramsPerTurn && receive_datagram(); ++i) {
   }
-  spent_ += loop_.now() - begun;
-  if (socket_ && !paused_ && spent_ > kShare * kWindow) pause();
+  spent_ += loop_.now() - began;
+  if (socket_ && !paused_ && spent_ > kMaxLoopShare * kWindow) pause();
 }
 
-bool Transport::receive_one() {
-  GSocketAddress* raw_from = nullptr;
+bool Transport::receive_datagram() {
+  GSocketAddress* raw_source = nullptr;
   GError* raw = nullptr;
-  gssize got =
-      socket_ ? g_socket_receive_from(socket_.get(), &raw_from, buffer_.data(), buffer_.size(), nullptr, &raw)
-              : -1;
-  Ref<GSocketAddress> from(raw_from);
+  gssize size = socket_ ? g_socket_receive_from(socket_.get(), &raw_source, buffer_.data(), buffer_.size(),
+                                                nullptr, &raw)
+                        : -1;
+  Ref<GSocketAddress> source(raw_source);
   Error error(raw);
-  if (got < 0) {
-    // The system had no memory for it, say, and would tell that the socket is ready again and again.
+  if (size < 0) {
+    // For example out of memory: the socket would be reported as readable again at once.
     if (error && !g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) pause();
     return false;
   }
   ++counts_.received;
-  counts_.bytes_received += std::uint64_t(got);
+  counts_.bytes_received += std::uint64_t(size);
   DecodeError decode_error = DecodeError::Malformed;
   std::optional<Message> message;
-  if (std::size_t(got) <= kMaxDatagramBytes)
-    message = decode(std::string_view(buffer_).substr(0, std::size_t(got)), key_, decode_error);
-  if (message) owner_.on_message(*message, text_of(from.get()));
-  else count(decode_error);
+  if (std::size_t(size) <= kMaxDatagramBytes)
+    message = decode(std::string_view(buffer_).substr(0, std::size_t(size)), key_, decode_error);
+  if (message) owner_.on_message(*message, to_text(source.get()));
+  else count_error(decode_error);
   return true;
 }
 
-void Transport::count(DecodeError error) {
+void Transport::count_error(DecodeError error) {
   counts_.malformed += error == DecodeError::Malformed;
-  counts_.foreign += error == DecodeError::WrongKey;
-  counts_.version += error == DecodeError::WrongVersion;
+  counts_.wrong_key += error == DecodeError::WrongKey;
+  counts_.wrong_version += error == DecodeError::WrongVersion;
 }
 
 void Transport::send(const std::string& address, const Message& message) {
   Ref<GSocketAddress> to = parse_address(address);
   std::string bytes = encode(message, key_);
   bool fits = socket_ && to && bytes.size() <= kMaxDatagramBytes;
-  // A buffer that is full loses it, as the network may.
+  // The message is lost if the socket buffer is full, as it may be lost in the network.
   if (!fits || g_socket_send_to(socket_.get(), to.get(), bytes.data(), bytes.size(), nullptr, nullptr) < 0)
     return void(++counts_.unsent);
   ++counts_.sent;
@@ -178,35 +196,38 @@
 }
 
 void Transport::sync(const std::string& address) {
-  if (!socket_ || asked_ >= kMostSessions || loop_.descriptors().available() <= 0) return;
+  if (!socket_ || initiated_sessions_ >= kMaxSessions || loop_.descriptors().available() <= 0) return;
   auto session = std::make_unique<PeerSession>(*this, true);
-  if (session->ask(address)) begin(std::move(session));
+  if (session->connect(address)) begin_session(std::move(session));
 }
 
-bool Transport::may_accept() { return answered_ < kMostSessions && loop_.descriptors().available() > 0; }
+bool Transport::may_accept() {
+  return accepted_sessions_ < kMaxSessions && loop_.descriptors().available() > 0;
+}
 
 void Transport::on_accepted(Ref<GSocket> socket, int, double) {
   auto session = std::make_unique<PeerSession>(*this, false);
-  session->answer(std::move(socket));
-  begin(std::move(session));
+  session->accept(std::move(socket));
+  begin_session(std::move(session));
 }
 
-void Transport::begin(std::unique_ptr<PeerSession> session) {
-  const PeerSession* which = session.get();
-  ++(session->asks ? asked_ : answered_);
-  sessions_.emplace(which, std::move(session));
-  // One that has ended may have left its address to another: that is ended a little early, at worst.
-  loop_.at(loop_.now() + kPatience, alive_.guard([this, which] {
-    if (sessions_.contains(which)) end(*which);
+void Transport::begin_session(std::unique_ptr<PeerSession> session) {
+  const PeerSession* key = session.get();
+  ++(session->initiates ? initiated_sessions_ : accepted_sessions_);
+  sessions_.emplace(key, std::move(session));
+  // If this session has ended, a later one may have been allocated at the same address. Then that one is
+  // ended, early but otherwise correctly.
+  loop_.at(loop_.now() + kSessionTimeout, alive_.guard([this, key] {
+    if (sessions_.contains(key)) end_session(*key);
   }));
 }
 
-void Transport::end(const PeerSession& session) {
-  auto which = sessions_.find(&session);
-  if (which == sessions_.end()) return;
-  --(session.asks ? asked_ : answered_);
-  loop_.delete_later(std::move(which->second));
-  sessions_.erase(which);
+void Transport::end_session(const PeerSession& session) {
+  auto found = sessions_.find(&session);
+  if (found == sessions_.end()) return;
+  --(session.initiates ? initiated_sessions_ : accepted_sessions_);
+  loop_.delete_later(std::move(found->second));
+  sessions_.erase(found);
 }
 
 }  // namespace puffinvane::fleet
