--- a/src/config/site/check.cpp
+++ b/src/config/site/check.cpp
@@ -1,4 +1,4 @@
-// What a site has to hold, whoever made it.
+// Checks the consistency of a site, however it was constructed.
 #include <algorithm>
 #include <functional>
 #include <map>
@@ -17,7 +17,7 @@
   return names;
 }
 
-std::string shown(const std::string& name) { return "`" + name + "`"; }
+std::string in_backticks(const std::string& name) { return "`" + name + "`"; }
 
 std::string percent(double share) {
   std::string digits = std::to_string(share * 100);
@@ -32,169 +32,181 @@
       : site_(site),
         listener_names_(names_of(site.listeners)),
         pool_names_(names_of(site.pools)),
-        prefix_names_(names_of(site.request_classes)) {}
+        request_class_names_(names_of(site.request_classes)) {}
 
   std::vector<Finding> run() {
-    no_doubles("listener", site_.listeners);
-    no_doubles("pool", site_.pools);
-    no_doubles("prefix", site_.request_classes);
-    no_doubles("customer", site_.tenants);
-    no_doubles("route", site_.routes);
-    if (site_.listeners.empty()) say("site", "nothing listens: a site needs a `listener`", "", true);
-    if (site_.routes.empty()) say("site", "nothing is routed: a site needs a `route`", "", true);
-    listeners(), request_classes(), tenants(), pools();
-    for (const Route& one : site_.routes) route(one);
-    unused(), never();
+    check_unique("listener", site_.listeners);
+    check_unique("pool", site_.pools);
+    check_unique("prefix", site_.request_classes);
+    check_unique("customer", site_.tenants);
+    check_unique("route", site_.routes);
+    if (site_.listeners.empty()) add("site", "nothing listens: a site needs a `listener`", "", true);
+    if (site_.routes.empty()) add("site", "nothing is routed: a site needs a `route`", "", true);
+    check_listeners();
+    check_request_classes();
+    check_tenants();
+    check_pools();
+    for (const Route& one : site_.routes) check_route(one);
+    find_unused();
+    find_shadowed_routes();
     return std::move(findings_);
   }
 
  private:
-  void say(std::string subject, std::string text, std::string fix = "", bool is_omission = false) {
+  void add(std::string subject, std::string text, std::string fix = "", bool is_omission = false) {
     findings_.push_back({std::move(subject), std::move(text), std::move(fix), is_omission});
   }
   template <typename T>
-  void no_doubles(const std::string& what, const std::vector<T>& all) {
+  void check_unique(const std::string& what, const std::vector<T>& all) {
     std::map<std::string, int> seen;
     for (const T& one : all) {
       if (++seen[one.name] == 2)
-        say(what + " " + one.name + "#2", "a second " + what + " " + shown(one.name));
+        add(what + " " + one.name + "#2", "a second " + what + " " + in_backticks(one.name));
     }
   }
-  // Says what is wrong where a name stands for something that isn't there.
-  bool known(const std::string& subject, const std::string& what, const std::string& name,
-             const std::set<std::string>& names) {
+  // Whether the name is declared. Adds a finding if it isn't.
+  bool check_declared(const std::string& subject, const std::string& what, const std::string& name,
+                      const std::set<std::string>& names) {
     if (names.contains(name)) return true;
-    std::string meant = ++guesses_ > kMostGuesses ? "" : closest_name(name, {names.begin(), names.end()});
-    say(subject, "no " + what + " " + shown(name), meant.empty() ? "" : "did you mean " + shown(meant) + "?");
+    std::string suggestion =
+        ++suggestions_ > kMaxSuggestions ? "" : closest_name(name, {names.begin(), names.end()});
+    add(subject, "no " + what + " " + in_backticks(name),
+        suggestion.empty() ? "" : "did you mean " + in_backticks(suggestion) + "?");
     return false;
   }
 
-  void listeners() {
-    std::map<std::string, std::string> at;
+  void check_listeners() {
+    std::map<std::string, std::string> name_by_address;
     for (const Listener& one : site_.listeners) {
       if (one.address.empty()) continue;
-      auto [found, fresh] = at.emplace(one.address, one.name);
-      if (!fresh && found->second != one.name)
-        say("listener " + one.name + "/address",
-            "listener " + shown(found->second) + " listens at " + one.address + " already");
+      auto [found, is_new] = name_by_address.emplace(one.address, one.name);
+      if (!is_new && found->second != one.name)
+        add("listener " + one.name + "/address",
+            "listener " + in_backticks(found->second) + " listens at " + one.address + " already");
     }
   }
-  void request_classes() {
+  void check_request_classes() {
     for (const RequestClass& one : site_.request_classes) {
-      std::string of = "prefix " + one.name;
+      std::string subject = "prefix " + one.name;
       if (one.client_timeout_s < one.latency_objective_s)
-        say(of + "/client-timeout", "the client timeout is under the target latency");
+        add(subject + "/client-timeout", "the client timeout is under the target latency");
       if (one.idempotency == Idempotency::Keyed && one.idempotency_window_s <= 0)
-        say(of + "/kind", "a tagged prefix needs a `memory`: for how long endpoints know their tags");
+        add(subject + "/kind", "a tagged prefix needs a `memory`: for how long endpoints know their tags");
       if (one.idempotency != Idempotency::Keyed && one.idempotency_window_s > 0)
-        say(of + "/memory", "only a tagged prefix has a memory");
+        add(subject + "/memory", "only a tagged prefix has a memory");
     }
   }
-  void tenants() {
+  void check_tenants() {
     double shares = 0;
     for (const Tenant& one : site_.tenants) {
-      std::string of = "customer " + one.name;
-      if (one.share && one.quota) say(of + "/quota", "a share and a quota: one of them has to go");
-      if (!one.share && !one.quota) say(of, "a customer needs a `share` or a `quota`");
+      std::string subject = "customer " + one.name;
+      if (one.share && one.quota) add(subject + "/quota", "a share and a quota: one of them has to go");
+      if (!one.share && !one.quota) add(subject, "a customer needs a `share` or a `quota`");
       if (one.share && site_.limits.requests <= 0)
-        say(of + "/share", "a share of what? `limits` has no `visits`, as in `visits 500/s`");
+        add(subject + "/share", "a share of what? `limits` has no `visits`, as in `visits 500/s`");
       double before = shares;
       shares += one.share.value_or(0);
-      if (before <= kWhole && shares > kWhole)
-        say(of + "/share", "the customers' shares come to " + percent(shares) + ", over 100%");
+      if (before <= kMaxTotalShare && shares > kMaxTotalShare)
+        add(subject + "/share", "the customers' shares come to " + percent(shares) + ", over 100%");
     }
   }
-  void pools() {
+  void check_pools() {
     for (const Pool& one : site_.pools) {
-      std::string of = "pool " + one.name;
+      std::string subject = "pool " + one.name;
       if (one.endpoints.empty() && one.discovery.empty())
-        say(of, "a pool needs an `endpoint` or a `discovery`");
+        add(subject, "a pool needs an `endpoint` or a `discovery`");
       if (!one.endpoints.empty() && !one.discovery.empty())
-        say(of + "/discovery", "endpoints and a discovery: one of them has to go");
-      std::map<std::string, std::string> at;
+        add(subject + "/discovery", "endpoints and a discovery: one of them has to go");
+      std::map<std::string, std::string> name_by_address;
       std::set<std::string> names;
       for (const Endpoint& endpoint : one.endpoints) {
-        std::string its = of + "/endpoint " + endpoint.name;
+        std::string endpoint_subject = subject + "/endpoint " + endpoint.name;
         if (!names.insert(endpoint.name).second)
-          say(its + "#2", "a second endpoint " + shown(endpoint.name) + " in pool " + shown(one.name));
-        else if (auto [found, fresh] = at.emplace(endpoint.address, endpoint.name);
-                 !fresh && !endpoint.address.empty())
-          say(its + "/address",
-              "endpoint " + shown(found->second) + " stands at " + endpoint.address + " already");
+          add(endpoint_subject + "#2",
+              "a second endpoint " + in_backticks(endpoint.name) + " in pool " + in_backticks(one.name));
+        else if (auto [found, is_new] = name_by_address.emplace(endpoint.address, endpoint.name);
+                 !is_new && !endpoint.address.empty())
+          add(endpoint_subject + "/address",
+              "endpoint " + in_backticks(found->second) + " stands at " + endpoint.address + " already");
       }
     }
   }
-  void route(const Route& one) {
-    std::string of = "route " + one.name;
+  void check_route(const Route& one) {
+    std::string subject = "route " + one.name;
     for (const std::string& name : one.listeners)
-      known(of + "/on " + name, "listener", name, listener_names_);
+      check_declared(subject + "/on " + name, "listener", name, listener_names_);
     double shares = 0;
-    std::set<std::string> aims;
+    std::set<std::string> targeted_pools;
     for (const Target& target : one.targets) {
-      known(of + "/to " + target.pool, "pool", target.pool, pool_names_);
-      if (!aims.insert(target.pool).second)
-        say(of + "/to " + target.pool + "#2", "pool " + shown(target.pool) + " twice");
+      check_declared(subject + "/to " + target.pool, "pool", target.pool, pool_names_);
+      if (!targeted_pools.insert(target.pool).second)
+        add(subject + "/to " + target.pool + "#2", "pool " + in_backticks(target.pool) + " twice");
       shares += target.share;
     }
-    if (!one.targets.empty() && (shares > kWhole || shares < 2 - kWhole))
-      say(of + "/to " + one.targets.back().pool, "the shares come to " + percent(shares) + ", not to 100%");
-    if (one.targets.empty() && !one.answer.status) say(of, "a route needs a `to` or an `answer`");
+    if (!one.targets.empty() && (shares > kMaxTotalShare || shares < 2 - kMaxTotalShare))
+      add(subject + "/to " + one.targets.back().pool,
+          "the shares come to " + percent(shares) + ", not to 100%");
+    if (one.targets.empty() && !one.answer.status) add(subject, "a route needs a `to` or an `answer`");
     if (!one.targets.empty() && one.answer.status)
-      say(of + "/answer", "a `to` and an `answer`: one of them has to go");
+      add(subject + "/answer", "a `to` and an `answer`: one of them has to go");
     if (!one.rewrite.empty() && one.match == Route::Path::Any)
-      say(of + "/rewrite", "nothing to rewrite: the route has no `path` or `exact`");
-    if (!one.rewrite.empty() && one.answer.status) say(of + "/rewrite", "an answer is not rewritten");
+      add(subject + "/rewrite", "nothing to rewrite: the route has no `path` or `exact`");
+    if (!one.rewrite.empty() && one.answer.status) add(subject + "/rewrite", "an answer is not rewritten");
     if (!one.answer.location.empty() && one.answer.status / 100 != 3)
-      say(of + "/location", "a `location` goes with an answer from 300 to 399");
+      add(subject + "/location", "a `location` goes with an answer from 300 to 399");
     if (one.answer.status / 100 == 3 && one.answer.status != 304 && one.answer.location.empty())
-      say(of + "/answer", "an answer of " + std::to_string(one.answer.status) + " needs a `location`");
-    if (!one.targets.empty()) class_of(one);
-    contradictions(one);
+      add(subject + "/answer", "an answer of " + std::to_string(one.answer.status) + " needs a `location`");
+    if (!one.targets.empty()) check_request_class(one);
+    check_contradictions(one);
   }
-  void class_of(const Route& one) {
-    std::string of = "route " + one.name;
-    if (!one.request_class.empty()) known(of + "/as", "prefix", one.request_class, prefix_names_);
-    else if (site_.request_classes.empty()) say(of, "its visits have no `prefix`: the site declares none");
-    else say(of, "whose kind and times do its visits have? add `as` and the name of a prefix");
+  void check_request_class(const Route& one) {
+    std::string subject = "route " + one.name;
+    if (!one.request_class.empty())
+      check_declared(subject + "/as", "prefix", one.request_class, request_class_names_);
+    else if (site_.request_classes.empty())
+      add(subject, "its visits have no `prefix`: the site declares none");
+    else add(subject, "whose kind and times do its visits have? add `as` and the name of a prefix");
   }
-  void contradictions(const Route& one) {
+  void check_contradictions(const Route& one) {
     using Test = Condition::Test;
     for (std::size_t i = 0; i < one.conditions.size(); ++i) {
-      const Condition& late = one.conditions[i];
+      const Condition& second = one.conditions[i];
       for (std::size_t j = 0; j < i; ++j) {
-        const Condition& early = one.conditions[j];
-        if (!std::equal(early.header.begin(), early.header.end(), late.header.begin(), late.header.end(),
+        const Condition& first = one.conditions[j];
+        if (!std::equal(first.header.begin(), first.header.end(), second.header.begin(), second.header.end(),
                         [](char a, char b) { return (a | 32) == (b | 32); }))
           continue;
-        bool absent = (early.test == Test::Absent) != (late.test == Test::Absent) &&
-                      early.test != Test::IsNot && late.test != Test::IsNot;
-        bool two = early.test == Test::Is && late.test == Test::Is && early.value != late.value;
-        bool same = early.test == late.test && early.value == late.value;
-        std::string its = "route " + one.name + "/header " + std::to_string(i);
-        if (absent || two)
-          say(its, "the route can never match: this can't hold with what is asked of " + shown(early.header) +
-                       " before");
-        else if (same) say(its, "the same condition twice");
+        bool absent_contradicts = (first.test == Test::Absent) != (second.test == Test::Absent) &&
+                                  first.test != Test::IsNot && second.test != Test::IsNot;
+        bool values_contradict =
+            first.test == Test::Is && second.test == Test::Is && first.value != second.value;
+        bool same = first.test == second.test && first.value == second.value;
+        std::string subject = "route " + one.name + "/header " + std::to_string(i);
+        if (absent_contradicts || values_contradict)
+          add(subject, "the route can never match: this can't hold with what is asked of " +
+                           in_backticks(first.header) + " before");
+        else if (same) add(subject, "the same condition twice");
       }
     }
   }
-  void unused() {
+  void find_unused() {
     std::set<std::string> pools, listeners;
-    bool all = false;
+    bool any_for_all_listeners = false;
     for (const Route& one : site_.routes) {
       for (const Target& target : one.targets) pools.insert(target.pool);
       listeners.insert(one.listeners.begin(), one.listeners.end());
-      all = all || one.listeners.empty();
+      any_for_all_listeners = any_for_all_listeners || one.listeners.empty();
     }
     for (const Pool& one : site_.pools) {
       if (!pools.contains(one.name))
-        say("pool " + one.name, "no route leads to pool " + shown(one.name), "", true);
+        add("pool " + one.name, "no route leads to pool " + in_backticks(one.name), "", true);
     }
     for (const Listener& one : site_.listeners) {
-      if (!all && !site_.routes.empty() && !listeners.contains(one.name))
-        say("listener " + one.name, "no route is open to listener " + shown(one.name), "", true);
+      if (!any_for_all_listeners && !site_.routes.empty() && !listeners.contains(one.name))
+        add("listener " + one.name, "no route is open to listener " + in_backticks(one.name), "", true);
     }
   }
+  // Whether `one` contains all of `other`. An empty list stands for everything.
   static bool covers(const std::vector<std::string>& one, const std::vector<std::string>& other) {
     if (one.empty() || other.empty()) return one.empty();
     return std::all_of(other.begin(), other.end(), [&](const std::string& word) {
@@ -210,34 +222,35 @@
     }
     return all;
   }
-  // Whatever goes before another by its host, path, methods or count of conditions matches less than it: only
-  // an earlier one that is alike in all of them can leave it nothing.
-  void never() {
-    std::map<std::string, std::vector<const Route*>> alike;
+  // Reports routes that an earlier one leaves no requests. A route that has precedence by its host, path,
+  // methods or number of conditions is more specific, so it never matches all requests of another. That
+  // leaves earlier routes that are equal in all of these.
+  void find_shadowed_routes() {
+    std::map<std::string, std::vector<const Route*>> by_precedence;
     for (const Route& one : site_.routes) {
       std::string key = std::to_string(int(one.match)) + one.path + (one.methods.empty() ? " any" : " named");
       for (const std::string& condition : conditions_of(one)) key += "\n" + condition;
-      std::vector<const Route*>& before = alike[key];
-      std::size_t looked = 0;
-      for (const Route* early : before) {
-        if (++looked > kMostLooked) break;
-        bool methods = early->methods.empty() || covers(early->methods, one.methods);
-        bool hosts = early->hosts.empty() == one.hosts.empty() && covers(early->hosts, one.hosts);
-        if (!methods || !hosts || !covers(early->listeners, one.listeners)) continue;
-        say("route " + one.name,
-            "the route can never match: route " + shown(early->name) + " before it takes all that it would");
+      std::vector<const Route*>& earlier_routes = by_precedence[key];
+      std::size_t compared = 0;
+      for (const Route* earlier : earlier_routes) {
+        if (++compared > kMaxCompared) break;
+        bool methods = earlier->methods.empty() || covers(earlier->methods, one.methods);
+        bool hosts = earlier->hosts.empty() == one.hosts.empty() && covers(earlier->hosts, one.hosts);
+        if (!methods || !hosts || !covers(earlier->listeners, one.listeners)) continue;
+        add("route " + one.name, "the route can never match: route " + in_backticks(earlier->name) +
+                                     " before it takes all that it would");
         break;
       }
-      before.push_back(&one);
+      earlier_routes.push_back(&one);
     }
   }
 
-  static constexpr double kWhole = 1 + 1e-9;
-  static constexpr std::size_t kMostLooked = 256;
-  static constexpr int kMostGuesses = 100;  // each is compared with every name
+  static constexpr double kMaxTotalShare = 1 + 1e-9;  // 100%, with a margin for rounding
+  static constexpr std::size_t kMaxCompared = 256;    // earlier routes that each one is compared with
+  static constexpr int kMaxSuggestions = 100;         // each compares the unknown name with all declared ones
   const Site& site_;
-  const std::set<std::string> listener_names_, pool_names_, prefix_names_;
-  int guesses_ = 0;
+  const std::set<std::string> listener_names_, pool_names_, request_class_names_;
+  int suggestions_ = 0;
   std::vector<Finding> findings_;
 };
 
--- a/src/config/site/site.cpp
+++ b/src/config/site/site.cpp
@@ -8,36 +8,38 @@
 namespace puffinvane::site {
 
 namespace {
-constexpr double kRound = 0.005;  // seconds that an answer needs to get out
+// Seconds that are reserved for a response to reach the client.
+constexpr double kRoundTrip = 0.005;
 }
 
 Deployment deployment_of(const Site& site, const Pool& pool) {
   Deployment deployment;
-  // Only what its requests can be, in one order: another pool's prefix that comes or goes changes nothing
-  // here.
-  std::set<std::string> used;
+  // Only the request classes that routes send to this pool, sorted by name: adding or removing a class of
+  // another pool doesn't change this pool's policy.
+  std::set<std::string> used_classes;
   for (const Route& route : site.routes) {
-    bool leads = std::any_of(route.targets.begin(), route.targets.end(),
-                             [&](const Target& target) { return target.pool == pool.name; });
-    if (leads) used.insert(route.request_class);
+    bool targets_pool = std::any_of(route.targets.begin(), route.targets.end(),
+                                    [&](const Target& target) { return target.pool == pool.name; });
+    if (targets_pool) used_classes.insert(route.request_class);
   }
   for (const RequestClass& request_class : site.request_classes) {
-    if (used.contains(request_class.name)) deployment.request_classes.push_back(request_class);
+    if (used_classes.contains(request_class.name)) deployment.request_classes.push_back(request_class);
   }
   auto by_name = [](const auto& one, const auto& other) { return one.name < other.name; };
   std::sort(deployment.request_classes.begin(), deployment.request_classes.end(), by_name);
-  // Each pool's module counts as one sidecar of all that send to these endpoints: their small allowances
-  // would else add up to a crowd there.
-  int before = 0, sharing = 0;
+  // The policies of pools with common endpoints count as separate instances, so that they divide what one of
+  // them may send. Otherwise the total of their limits could overload the endpoints.
+  int index = 0, sharing = 0;
   for (const Pool& other : site.pools) {
     if (!share_endpoints(pool, other)) continue;
-    ++sharing, before += other.name < pool.name;
+    ++sharing;
+    index += other.name < pool.name;
   }
   deployment.instance_count = site.limits.instances * sharing;
-  deployment.instance_index = before;
+  deployment.instance_index = index;
   for (const Tenant& tenant : site.tenants) {
     double quota = tenant.quota.value_or(tenant.share.value_or(0) * site.limits.requests);
-    deployment.tenants.push_back({tenant.name, quota * sharing});  // it may come by one pool only
+    deployment.tenants.push_back({tenant.name, quota * sharing});  // all its requests may go to one pool
   }
   std::sort(deployment.tenants.begin(), deployment.tenants.end(), by_name);
   deployment.slow_start = {pool.slow_start_share, pool.warm_after};
@@ -49,37 +51,42 @@
   deployment.connect_timeout_s = pool.connect_timeout;
   deployment.idle_timeout_s = pool.idle_time;
   deployment.zone = pool.zone;
-  deployment.round_trip_s = kRound;
+  deployment.round_trip_s = kRoundTrip;
   return deployment;
 }
 
 bool share_endpoints(const Pool& one, const Pool& other) {
   if (!one.discovery.empty() || !other.discovery.empty()) return one.discovery == other.discovery;
-  std::set<std::string> theirs;
-  for (const Endpoint& endpoint : other.endpoints) theirs.insert(endpoint.address);
+  std::set<std::string> addresses;
+  for (const Endpoint& endpoint : other.endpoints) addresses.insert(endpoint.address);
   return std::any_of(one.endpoints.begin(), one.endpoints.end(),
-                     [&](const Endpoint& endpoint) { return theirs.contains(endpoint.address); });
+                     [&](const Endpoint& endpoint) { return addresses.contains(endpoint.address); });
 }
 
 std::string identity_of(const Endpoint& endpoint) { return endpoint.name + "@" + endpoint.address; }
 
-std::string closest_name(const std::string& written, const std::vector<std::string>& known) {
-  constexpr std::size_t kLongest = 64;  // of a name worth comparing: the cost is the product of both lengths
+std::string closest_name(const std::string& misspelt, const std::vector<std::string>& known) {
+  constexpr std::size_t kMaxLength = 64;  // the cost is the product of both lengths
   std::string best;
-  std::size_t least = std::max<std::size_t>(1, std::min<std::size_t>(2, written.size() / 3)) + 1;
-  if (written.size() > kLongest) return best;
+  // The largest accepted distance is a third of the length, but at least 1 and at most 2.
+  std::size_t best_distance = std::max<std::size_t>(1, std::min<std::size_t>(2, misspelt.size() / 3)) + 1;
+  if (misspelt.size() > kMaxLength) return best;
   for (const std::string& name : known) {
-    if (name.size() > kLongest || name == written) continue;
-    std::vector<std::size_t> row(written.size() + 1);
+    if (name.size() > kMaxLength || name == misspelt) continue;
+    // Levenshtein distance, one row of the matrix at a time.
+    std::vector<std::size_t> row(misspelt.size() + 1);
     std::iota(row.begin(), row.end(), std::size_t{0});
     for (std::size_t i = 0; i < name.size(); ++i) {
-      std::size_t corner = std::exchange(row[0], i + 1);
-      for (std::size_t j = 0; j < written.size(); ++j) {
-        std::size_t changed = corner + (name[i] != written[j]);
-        corner = std::exchange(row[j + 1], std::min({row[j] + 1, row[j + 1] + 1, changed}));
+      std::size_t diagonal = std::exchange(row[0], i + 1);
+      for (std::size_t j = 0; j < misspelt.size(); ++j) {
+        std::size_t substituted = diagonal + (name[i] != misspelt[j]);
+        diagonal = std::exchange(row[j + 1], std::min({row[j] + 1, row[j + 1] + 1, substituted}));
       }
     }
-    if (row.back() < least) least = row.back(), best = name;
+    if (row.back() < best_distance) {
+      best_distance = row.back();
+      best = name;
+    }
   }
   return best;
 }
--- a/src/config/site/site_test.cpp
+++ b/src/config/site/site_test.cpp
@@ -1,4 +1,5 @@
-// The model on its own: what is checked, what makes two versions differ, what a pool's module is told.
+// Tests of the site model without the site language: checks, versions and differences, and the policy
+// configuration of a pool.
 #undef NDEBUG
 #include "src/config/site/site.h"
 
@@ -11,10 +12,13 @@
 namespace {
 
 Route route(std::string name, std::string path, std::string pool) {
-  Route made;
-  made.name = std::move(name), made.match = Route::Path::Prefix, made.path = std::move(path);
-  made.request_class = "status", made.targets = {{std::move(pool), 1}};
-  return made;
+  Route result;
+  result.name = std::move(name);
+  result.match = Route::Path::Prefix;
+  result.path = std::move(path);
+  result.request_class = "status";
+  result.targets = {{std::move(pool), 1}};
+  return result;
 }
 
 Site sample() {
@@ -29,31 +33,33 @@
   return site;
 }
 
-bool says(const Site& site, const std::string& subject, const std::string& text) {
+bool has_finding(const Site& site, const std::string& subject, const std::string& text) {
   for (const Finding& finding : check(site)) {
     if (finding.subject == subject && finding.text.find(text) != std::string::npos) return true;
   }
   return false;
 }
 
-void a_sound_model_has_no_findings() { assert(check(sample()).empty()); }
+void a_valid_site_has_no_findings() { assert(check(sample()).empty()); }
 
-void a_model_from_anywhere_is_checked_without_a_language() {
+void a_site_is_checked_without_the_site_language() {
   Site site = sample();
   site.routes[0].targets[0].pool = "onne";
-  assert(says(site, "route r/to onne", "no pool `onne`"));
+  assert(has_finding(site, "route r/to onne", "no pool `onne`"));
   site = sample();
-  site.tenants[0].share = 0.6, site.tenants[1] = {"y", 0.5, {}};
-  assert(says(site, "customer y/share", "110%, over 100%"));
+  site.tenants[0].share = 0.6;
+  site.tenants[1] = {"y", 0.5, {}};
+  assert(has_finding(site, "customer y/share", "110%, over 100%"));
   site = sample();
   site.request_classes[0].client_timeout_s = 0.4;
-  assert(says(site, "prefix status/client-timeout", "under the target latency"));
+  assert(has_finding(site, "prefix status/client-timeout", "under the target latency"));
   site = sample();
-  site.pools[1].endpoints[0].address = "127.0.0.1:5", site.pools[1].discovery = "127.0.0.1:9";
-  assert(says(site, "pool two/discovery", "one of them has to go"));
+  site.pools[1].endpoints[0].address = "127.0.0.1:5";
+  site.pools[1].discovery = "127.0.0.1:9";
+  assert(has_finding(site, "pool two/discovery", "one of them has to go"));
 }
 
-void an_order_that_says_nothing_makes_no_difference() {
+void order_without_meaning_makes_no_difference() {
   Site one = sample(), other = sample();
   std::swap(other.listeners[0], other.listeners[1]);
   std::swap(other.pools[0], other.pools[1]);
@@ -69,7 +75,7 @@
   }
 }
 
-void the_order_of_two_that_nothing_tells_apart_is_a_difference() {
+void the_order_of_overlapping_routes_of_equal_precedence_is_a_difference() {
   Site one = sample();
   one.routes[1].path = "/a";
   one.routes[0].conditions = {{"X", Condition::Test::Present, ""}};
@@ -77,45 +83,46 @@
   Site other = one;
   std::swap(other.routes[0], other.routes[1]);
   assert(!differences(one, other).empty() && version(one) != version(other));
-  // On hosts that no request can share it is none.
-  one.routes[0].hosts = {"a.org"}, one.routes[1].hosts = {"b.org"};
+  // With different hosts no request matches both routes, so their order is no difference.
+  one.routes[0].hosts = {"a.org"};
+  one.routes[1].hosts = {"b.org"};
   other = one;
   std::swap(other.routes[0], other.routes[1]);
   assert(differences(one, other).empty());
 }
 
-void each_value_that_changes_is_one_difference() {
+void each_changed_value_is_one_difference() {
   Site before = sample(), after = sample();
   after.pools[0].endpoints[1].address = "127.0.0.1:6";
   after.request_classes[1].client_timeout_s = 1.5;
   after.routes.push_back(route("t", "/c", "two"));
   after.routes[2].conditions = {{"X", Condition::Test::Is, "1"}};
   after.pools[1].hedging = false;
-  std::vector<std::string> said;
+  std::vector<std::string> actual;
   for (const Difference& one : differences(before, after)) {
     constexpr const char* kSigns[] = {"+", "-", "~"};
-    said.push_back(kSigns[int(one.kind)] + one.subject + " " + one.before + ">" + one.after);
+    actual.push_back(kSigns[int(one.kind)] + one.subject + " " + one.before + ">" + one.after);
   }
-  const std::vector<std::string> wanted = {"~pool one/endpoint b/address 127.0.0.1:4>127.0.0.1:6",
-                                           "~pool two/copies on>off",
-                                           "~prefix consent/client-timeout 2s>1.5s",
-                                           "+route t >",
-                                           "+route t/as >status",
-                                           "+route t/header >X is \"1\"",
-                                           "+route t/path >/c",
-                                           "+route t/to two >100%"};
-  assert(said == wanted);
+  const std::vector<std::string> expected = {"~pool one/endpoint b/address 127.0.0.1:4>127.0.0.1:6",
+                                             "~pool two/copies on>off",
+                                             "~prefix consent/client-timeout 2s>1.5s",
+                                             "+route t >",
+                                             "+route t/as >status",
+                                             "+route t/header >X is \"1\"",
+                                             "+route t/path >/c",
+                                             "+route t/to two >100%"};
+  assert(actual == expected);
   assert(version(before) != version(after));
 }
 
-void facts_that_run_together_are_told_apart() {
+void properties_with_equal_concatenations_are_told_apart() {
   Site one = sample(), other = sample();
   one.routes[0].conditions = {{"X", Condition::Test::Is, "a"}, {"X", Condition::Test::IsNot, "b"}};
   other.routes[0].conditions = {{"X", Condition::Test::Is, "a\" is-not \"b"}};
   assert(version(one) != version(other));
 }
 
-void another_pool_s_prefix_changes_nothing_for_a_pool() {
+void a_request_class_of_another_pool_changes_nothing() {
   Site before = sample(), after = sample();
   after.routes[1].request_class = "consent";
   after.request_classes[1].client_timeout_s = 3;
@@ -126,29 +133,29 @@
   assert(deployment.tenants[0].quota_per_s == 25 && deployment.tenants[1].quota_per_s == 10);
 }
 
-void an_endpoint_that_moved_is_another_one() {
+void an_endpoint_with_another_address_is_another_one() {
   assert(identity_of({"a", "127.0.0.1:1"}) != identity_of({"a", "127.0.0.1:2"}));
 }
 
-void the_nearest_name_is_near() {
+void the_closest_name_is_within_the_accepted_distance() {
   const std::vector<std::string> names{"status", "consent", "upload"};
   assert(closest_name("consnet", names) == "consent" && closest_name("statsu", names) == "status");
   assert(closest_name("payment", names).empty() && closest_name("consent", {"consent"}).empty());
-  assert(closest_name("a", {"b"}) == "b");  // one letter off is the least there is
+  assert(closest_name("a", {"b"}) == "b");  // even for one letter a distance of 1 is accepted
   assert(closest_name(std::string(1 << 20, 'a'), names).empty());
 }
 
 }  // namespace
 
 int main() {
-  a_sound_model_has_no_findings();
-  a_model_from_anywhere_is_checked_without_a_language();
-  an_order_that_says_nothing_makes_no_difference();
-  the_order_of_two_that_nothing_tells_apart_is_a_difference();
-  each_value_that_changes_is_one_difference();
-  facts_that_run_together_are_told_apart();
-  another_pool_s_prefix_changes_nothing_for_a_pool();
-  an_endpoint_that_moved_is_another_one();
-  the_nearest_name_is_near();
-  std::puts("site: all stories hold");
+  a_valid_site_has_no_findings();
+  a_site_is_checked_without_the_site_language();
+  order_without_meaning_makes_no_difference();
+  the_order_of_overlapping_routes_of_equal_precedence_is_a_difference();
+  each_changed_value_is_one_difference();
+  properties_with_equal_concatenations_are_told_apart();
+  a_request_class_of_another_pool_changes_nothing();
+  an_endpoint_with_another_address_is_another_one();
+  the_closest_name_is_within_the_accepted_distance();
+  std::puts("site: all tests passed");
 }
