--- a/src/config/language/corpus_test.cpp
+++ b/src/config/language/corpus_test.cpp
@@ -1,5 +1,5 @@
-// The corpus: files that are wrong, each with its one diagnostic and where it points; and good ones on which
-// layout, result again and differences agree.
+// Tests of the corpus. Each invalid file gives the diagnostics of expected.tsv at the given locations.
+// Formatting a valid file keeps its meaning and its comments.
 #undef NDEBUG
 #include <cassert>
 #include <cstdio>
@@ -24,10 +24,10 @@
   return std::move(text).str();
 }
 
-// FileSource as they are, but for one that reads as something else.
-class Instead final : public FileSource {
+// The files on disk, with the text of one of them replaced.
+class ReplacedFile final : public FileSource {
  public:
-  Instead(std::string path, std::string text) : path_(std::move(path)), text_(std::move(text)) {}
+  ReplacedFile(std::string path, std::string text) : path_(std::move(path)), text_(std::move(text)) {}
   std::optional<std::string> read(const std::string& path) override {
     return path == path_ ? text_ : disk_.read(path);
   }
@@ -38,37 +38,42 @@
   std::string path_, text_;
 };
 
-void each_bad_file_says_what_and_where(const fs::path& folder) {
-  // Several lines of one file: several diagnostics.
+void each_invalid_file_gives_the_expected_diagnostics(const fs::path& folder) {
+  // A file with several diagnostics has several lines.
   std::ifstream expected(folder / "expected.tsv");
   std::string line;
   std::map<std::string, std::vector<std::pair<std::string, std::string>>> files;
   while (std::getline(expected, line)) {
     std::istringstream parts(line);
-    std::string name, location, says;
-    std::getline(parts, name, '\t'), std::getline(parts, location, '\t'), std::getline(parts, says);
-    files[name].emplace_back(location, says);
+    std::string name, location, text;
+    std::getline(parts, name, '\t');
+    std::getline(parts, location, '\t');
+    std::getline(parts, text);
+    files[name].emplace_back(location, text);
   }
-  int count = 0, wrong = 0;
-  for (const auto& [name, wanted] : files) {
+  int count = 0, failed = 0;
+  for (const auto& [name, expected_diagnostics] : files) {
     DiskFileSource disk;
     ReadResult result = read_site((folder / (name + ".site")).string(), disk);
     assert(result.found);
     std::vector<Diagnostic> diagnostics = result.diagnostics.sorted();
-    bool found = diagnostics.size() == wanted.size();
-    for (std::size_t i = 0; found && i < wanted.size(); ++i)
-      found = where(diagnostics[i], result.sources).ends_with("/" + wanted[i].first) &&
-              diagnostics[i].text.find(wanted[i].second) != std::string::npos;
-    ++count, wrong += !found;
-    if (!found)
-      std::fprintf(stderr, "%s: expected %s %s, got\n%s\n", name.c_str(), wanted[0].first.c_str(),
-                   wanted[0].second.c_str(), to_text(result.diagnostics, result.sources).c_str());
+    bool matches = diagnostics.size() == expected_diagnostics.size();
+    for (std::size_t i = 0; matches && i < expected_diagnostics.size(); ++i)
+      matches =
+          location_text(diagnostics[i], result.sources).ends_with("/" + expected_diagnostics[i].first) &&
+          diagnostics[i].text.find(expected_diagnostics[i].second) != std::string::npos;
+    ++count;
+    failed += !matches;
+    if (!matches)
+      std::fprintf(stderr, "%s: expected %s %s, got\n%s\n", name.c_str(),
+                   expected_diagnostics[0].first.c_str(), expected_diagnostics[0].second.c_str(),
+                   to_text(result.diagnostics, result.sources).c_str());
   }
-  std::printf("%d bad files\n", count);
-  assert(count >= 120 && wrong == 0);
+  std::printf("%d invalid files\n", count);
+  assert(count >= 120 && failed == 0);
 }
 
-void each_good_file_keeps_its_meaning_in_its_layout(const fs::path& folder) {
+void each_valid_file_keeps_its_meaning_when_formatted(const fs::path& folder) {
   int count = 0;
   for (const fs::directory_entry& entry : fs::directory_iterator(folder)) {
     if (entry.path().extension() != ".site") continue;
@@ -84,12 +89,12 @@
     Tree again = parse(0, formatted, none);
     assert(none.empty() && is_equivalent(tree, again));
     assert(format(again) == formatted);
-    Instead instead(path, formatted);
-    ReadResult after = read_site(path, instead);
+    ReplacedFile replaced(path, formatted);
+    ReadResult after = read_site(path, replaced);
     assert(after.diagnostics.empty() && site::properties(before.site) == site::properties(after.site));
     assert(site::differences(before.site, after.site).empty());
     assert(site::version(before.site) == site::version(after.site));
-    // Every comment is still there, in its order.
+    // All comments are kept, in the same order.
     std::string comments, kept;
     for (auto [from, into] : {std::pair{&text, &comments}, {&formatted, &kept}}) {
       for (std::size_t at = from->find("# "); at != std::string::npos; at = from->find("# ", at + 1)) {
@@ -99,15 +104,15 @@
     }
     assert(comments == kept);
   }
-  std::printf("%d good files\n", count);
+  std::printf("%d valid files\n", count);
   assert(count >= 40);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  assert(count == 2);
-  each_bad_file_says_what_and_where(fs::path(words[1]) / "bad");
-  each_good_file_keeps_its_meaning_in_its_layout(fs::path(words[1]) / "good");
-  std::puts("corpus: all stories hold");
+int main(int argc, char** argv) {
+  assert(argc == 2);
+  each_invalid_file_gives_the_expected_diagnostics(fs::path(argv[1]) / "bad");
+  each_valid_file_keeps_its_meaning_when_formatted(fs::path(argv[1]) / "good");
+  std::puts("corpus: all tests passed");
 }
--- a/src/config/language/diagnostics.cpp
+++ b/src/config/language/diagnostics.cpp
@@ -7,11 +7,12 @@
 namespace puffinvane::language {
 
 namespace {
-constexpr std::size_t kWidest = 120;  // characters of a line that are shown; longer ones in part
+constexpr std::size_t kMaxWidth = 120;  // of a source line, in characters; of longer lines a section is shown
 
-// The characters of a text, each with the bytes that it has; what is no UTF-8 is shown as a question mark.
+// Splits a text into its UTF-8 characters. Invalid bytes and control characters other than tabs become
+// question marks.
 std::vector<std::string> characters(std::string_view text) {
-  std::vector<std::string> all;
+  std::vector<std::string> result;
   for (std::size_t i = 0; i < text.size();) {
     auto first = static_cast<unsigned char>(text[i]);
     std::size_t size = first < 0x80   ? 1
@@ -20,17 +21,17 @@
                        : first < 0xf0 ? 3
                        : first < 0xf5 ? 4
                                       : 0;
-    bool whole = size > 0 && i + size <= text.size();
-    for (std::size_t k = 1; whole && k < size; ++k) whole = (text[i + k] & 0xc0) == 0x80;
-    if (!whole || first < 0x20 || first == 0x7f) {
-      all.push_back(first == '\t' ? "\t" : "?");
+    bool valid = size > 0 && i + size <= text.size();
+    for (std::size_t k = 1; valid && k < size; ++k) valid = (text[i + k] & 0xc0) == 0x80;
+    if (!valid || first < 0x20 || first == 0x7f) {
+      result.push_back(first == '\t' ? "\t" : "?");
       ++i;
     } else {
-      all.emplace_back(text.substr(i, size));
+      result.emplace_back(text.substr(i, size));
       i += size;
     }
   }
-  return all;
+  return result;
 }
 }  // namespace
 
@@ -53,7 +54,7 @@
 
 void Diagnostics::add(SourceLocation location, std::string text, std::string fix,
                       std::vector<std::string> notes) {
-  if (++count_ > kMost) return;
+  if (++count_ > kMaxKept) return;
   kept_.push_back({location, std::move(text), std::move(fix), std::move(notes)});
 }
 
@@ -68,27 +69,32 @@
   return all;
 }
 
-std::string where(const Diagnostic& diagnostic, const Sources& sources) {
+std::string location_text(const Diagnostic& diagnostic, const Sources& sources) {
   return sources.path(diagnostic.location.file) + ":" + std::to_string(diagnostic.location.line) + ":" +
          std::to_string(diagnostic.location.column);
 }
 
 std::string to_text(const Diagnostic& diagnostic, const Sources& sources) {
-  std::string out = where(diagnostic, sources) + ": " + diagnostic.text + "\n";
+  std::string out = location_text(diagnostic, sources) + ": " + diagnostic.text + "\n";
   std::vector<std::string> line =
       characters(sources.line(diagnostic.location.file, diagnostic.location.line));
   std::size_t column = std::min<std::size_t>(diagnostic.location.column - 1, line.size());
-  std::size_t from = column > kWidest / 2 ? column - kWidest / 2 : 0;
-  std::size_t to = std::min(line.size(), from + kWidest);
-  if (line.size() <= kWidest) from = 0, to = line.size();
-  std::string text = from > 0 ? "..." : "", under = from > 0 ? "   " : "";
+  std::size_t from = column > kMaxWidth / 2 ? column - kMaxWidth / 2 : 0;
+  std::size_t to = std::min(line.size(), from + kMaxWidth);
+  if (line.size() <= kMaxWidth) {
+    from = 0;
+    to = line.size();
+  }
+  std::string text = from > 0 ? "..." : "", padding = from > 0 ? "   " : "";
   for (std::size_t i = from; i < to; ++i) {
     text += line[i];
-    if (i < column) under += line[i] == "\t" ? "\t" : " ";  // a tab is as wide under it as above
+    if (i < column)
+      padding += line[i] == "\t" ? "\t" : " ";  // a tab is kept, so that the carets stay aligned
   }
   std::size_t length =
       std::clamp<std::size_t>(diagnostic.location.length, 1, std::max<std::size_t>(1, to - column));
-  out += "    " + text + (to < line.size() ? "..." : "") + "\n    " + under + std::string(length, '^') + "\n";
+  out +=
+      "    " + text + (to < line.size() ? "..." : "") + "\n    " + padding + std::string(length, '^') + "\n";
   for (const std::string& note : diagnostic.notes) out += "    " + note + "\n";
   if (!diagnostic.fix.empty()) out += "    fix: " + diagnostic.fix + "\n";
   return out;
@@ -97,8 +103,8 @@
 std::string to_text(const Diagnostics& diagnostics, const Sources& sources) {
   std::string out;
   for (const Diagnostic& diagnostic : diagnostics.sorted()) out += to_text(diagnostic, sources);
-  if (diagnostics.count() > Diagnostics::kMost)
-    out += "and " + std::to_string(diagnostics.count() - Diagnostics::kMost) + " more\n";
+  if (diagnostics.count() > Diagnostics::kMaxKept)
+    out += "and " + std::to_string(diagnostics.count() - Diagnostics::kMaxKept) + " more\n";
   return out;
 }
 
--- a/src/config/language/diagnostics.h
+++ b/src/config/language/diagnostics.h
@@ -1,4 +1,4 @@
-// Where things stand in the files of a site, and what is said of them.
+// The source files of a site, locations in them, and the diagnostics about them.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +11,19 @@
 namespace puffinvane::language {
 
 struct SourceLocation {
-  int file = 0;
-  std::uint32_t line = 1, column = 1;  // both from 1; a column is a character, however many bytes it has
-  std::uint32_t length = 1;            // characters
+  int file = 0;                        // as returned by Sources::add
+  std::uint32_t line = 1, column = 1;  // from 1; columns count characters, not bytes
+  std::uint32_t length = 1;            // in characters
 };
 
 struct Diagnostic {
   SourceLocation location;
-  std::string text, fix;           // fix: empty unless it is sure
-  std::vector<std::string> notes;  // more lines, as the chain of a circle of includes
+  std::string text;
+  std::string fix;                 // empty unless there is one likely fix
+  std::vector<std::string> notes;  // additional lines, such as the chain of a circular include
 };
 
-// The texts that a site was read from.
+// The texts of the files that a site was read from.
 class Sources {
  public:
   int add(std::string path, std::string text);
@@ -34,30 +35,30 @@
   struct File {
     std::string path;
     std::string text;
-    std::vector<std::size_t> lines;  // where each begins
+    std::vector<std::size_t> lines;  // the offset of each line
   };
-  std::deque<File> files_;  // what points into a text goes on doing so
+  std::deque<File> files_;  // a deque, because views into the texts have to stay valid when a file is added
 };
 
-// A file that is wrong throughout says so some hundred times and then counts.
+// Collects diagnostics. Of a site with very many, only the first kMaxKept are kept and the rest are counted.
 class Diagnostics {
  public:
-  static constexpr std::size_t kMost = 200;
+  static constexpr std::size_t kMaxKept = 200;
   void add(SourceLocation location, std::string text, std::string fix = "",
            std::vector<std::string> notes = {});
   bool empty() const { return count_ == 0; }
-  std::size_t count() const { return count_; }
-  std::vector<Diagnostic> sorted() const;  // by file, line and column
+  std::size_t count() const { return count_; }  // including those that were not kept
+  std::vector<Diagnostic> sorted() const;       // by file, line and column
 
  private:
   std::vector<Diagnostic> kept_;
   std::size_t count_ = 0;
 };
 
-std::string where(const Diagnostic& diagnostic, const Sources& sources);  // "file:line:column"
-// The diagnostic, its line with a caret, the fix: as people read it.
+std::string location_text(const Diagnostic& diagnostic, const Sources& sources);  // "file:line:column"
+// For people: the diagnostic, the source line with carets below it, notes and the fix.
 std::string to_text(const Diagnostic& diagnostic, const Sources& sources);
 std::string to_text(const Diagnostics& diagnostics, const Sources& sources);
-std::string to_json(const Diagnostics& diagnostics, const Sources& sources);  // one array
+std::string to_json(const Diagnostics& diagnostics, const Sources& sources);  // an array
 
 }  // namespace puffinvane::language
--- a/src/config/language/language_fuzz.cpp
+++ b/src/config/language/language_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any bytes at all: the lexer, the parser, the checker and the formatter end, say where, and agree with one
-// another. The same entry serves libFuzzer and, with a main of its own, a corpus and what can be made of it.
+// Fuzz test of the lexer, parser, checker and formatter: for any input they terminate, give diagnostics with
+// valid locations, and agree with each other. The entry point is that of libFuzzer. Without libFuzzer, the
+// main function below runs it on the files of a corpus and on random mutations of them.
 #undef NDEBUG
 #include <cassert>
 #include <cstdint>
@@ -18,9 +19,9 @@
 
 namespace {
 
-class Memory final : public FileSource {
+class MemoryFileSource final : public FileSource {
  public:
-  explicit Memory(std::string text) : text_(std::move(text)) {}
+  explicit MemoryFileSource(std::string text) : text_(std::move(text)) {}
   std::optional<std::string> read(const std::string& path) override {
     if (path == "/site/it.site") return text_;
     if (path == "/site/self") return "include \"it.site\"\n";
@@ -42,18 +43,18 @@
   Tree tree = parse(0, text, diagnostics);
   if (diagnostics.empty()) {
     std::string formatted = format(tree);
-    Diagnostics again;
-    Tree back = parse(0, formatted, again);
-    assert(again.empty() && is_equivalent(tree, back));
-    assert(format(back) == formatted);
+    Diagnostics formatted_diagnostics;
+    Tree formatted_tree = parse(0, formatted, formatted_diagnostics);
+    assert(formatted_diagnostics.empty() && is_equivalent(tree, formatted_tree));
+    assert(format(formatted_tree) == formatted);
   }
-  Memory memory(text);
-  ReadResult result = read_site("/site/it.site", memory);
-  std::string said = to_text(result.diagnostics, result.sources);
+  MemoryFileSource files(text);
+  ReadResult result = read_site("/site/it.site", files);
+  std::string printed = to_text(result.diagnostics, result.sources);
   to_json(result.diagnostics, result.sources);
   for (const Diagnostic& diagnostic : result.diagnostics.sorted())
     assert(diagnostic.location.line >= 1 && diagnostic.location.column >= 1 && !diagnostic.text.empty());
-  assert(result.diagnostics.empty() == said.empty());
+  assert(result.diagnostics.empty() == printed.empty());
   if (result.diagnostics.empty()) {
     assert(site::check(result.site).empty());
     assert(site::differences(result.site, result.site).empty());
@@ -66,9 +67,12 @@
 #ifndef PUFFINVANE_LIBFUZZER
 namespace {
 std::uint64_t state = 42;
-std::size_t below(std::size_t n) {  // xorshift: the same inputs at every run
-  state ^= state << 13, state ^= state >> 7, state ^= state << 17;
-  return state % n;
+// An xorshift generator, so that each run has the same inputs.
+std::size_t random_below(std::size_t limit) {
+  state ^= state << 13;
+  state ^= state >> 7;
+  state ^= state << 17;
+  return state % limit;
 }
 
 void run(const std::string& text) {
@@ -76,11 +80,11 @@
 }
 }  // namespace
 
-// Each file whole, cut, and torn in some hundred ways.
-int main(int count, char** words) {
+// Arguments: the number of mutations of each file, and the folders with the files.
+int main(int argc, char** argv) {
   std::vector<std::string> corpus;
-  for (int i = 2; i < count; ++i) {
-    for (const auto& entry : std::filesystem::recursive_directory_iterator(words[i])) {
+  for (int i = 2; i < argc; ++i) {
+    for (const auto& entry : std::filesystem::recursive_directory_iterator(argv[i])) {
       if (!entry.is_regular_file()) continue;
       std::ifstream file(entry.path(), std::ios::binary);
       std::ostringstream text;
@@ -90,30 +94,31 @@
   }
   assert(!corpus.empty());
   long runs = 0;
-  const int times = std::atoi(words[1]);
-  for (const std::string& whole : corpus) {
-    run(whole), ++runs;
-    if (whole.size() > 4000) continue;
-    for (int i = 0; i < times; ++i, ++runs) {
-      std::string text = whole;
-      for (std::size_t k = 1 + below(3); k > 0 && !text.empty(); --k) {
-        std::size_t at = below(text.size());
-        switch (below(6)) {
+  const int mutations = std::atoi(argv[1]);
+  for (const std::string& original : corpus) {
+    run(original);
+    ++runs;
+    if (original.size() > 4000) continue;
+    for (int i = 0; i < mutations; ++i, ++runs) {
+      std::string text = original;
+      for (std::size_t k = 1 + random_below(3); k > 0 && !text.empty(); --k) {
+        std::size_t at = random_below(text.size());
+        switch (random_below(6)) {
           case 0: text.resize(at); break;
-          case 1: text[at] = char(below(256)); break;
-          case 2: text.erase(at, 1 + below(20)); break;
-          case 3: text.insert(at, 1, "{}\"#;,$\\\n\r\t /"[below(13)]); break;
+          case 1: text[at] = char(random_below(256)); break;
+          case 2: text.erase(at, 1 + random_below(20)); break;
+          case 3: text.insert(at, 1, "{}\"#;,$\\\n\r\t /"[random_below(13)]); break;
           case 4: {
-            const std::string& other = corpus[below(corpus.size())];
-            if (!other.empty()) text.insert(at, other.substr(below(other.size()), below(60)));
+            const std::string& other = corpus[random_below(corpus.size())];
+            if (!other.empty()) text.insert(at, other.substr(random_below(other.size()), random_below(60)));
             break;
           }
-          default: text.insert(at, text.substr(below(text.size()), below(40)));
+          default: text.insert(at, text.substr(random_below(text.size()), random_below(40)));
         }
       }
       run(text);
     }
   }
-  std::printf("fuzz: %ld inputs, all well\n", runs);
+  std::printf("fuzz: %ld inputs, no failures\n", runs);
 }
 #endif
--- a/src/config/language/language_test.cpp
+++ b/src/config/language/language_test.cpp
@@ -1,4 +1,4 @@
-// The language's hard cases that need more than a file to look at.
+// Tests of the site language that need more than one file of the corpus.
 #undef NDEBUG
 #include <cassert>
 #include <chrono>
@@ -16,7 +16,7 @@
 
 namespace {
 
-class Memory final : public FileSource {
+class MemoryFileSource final : public FileSource {
  public:
   std::optional<std::string> read(const std::string& path) override {
     auto found = files.find(canonical_path(path));
@@ -33,19 +33,20 @@
     "prefix status { kind read-like; target-latency 750ms; client-timeout 2s }\n"
     "pool one { endpoint a 127.0.0.1:6000 }\n";
 
-void a_circle_of_three_files_is_shown_whole() {
-  Memory memory;
+void a_circular_include_is_reported_with_its_chain() {
+  MemoryFileSource memory;
   memory.files = {{"/s/a.site", "# a\ninclude \"b.site\"\n"},
                   {"/s/b.site", "include \"in/c.site\"\n"},
                   {"/s/in/c.site", "\n\n  include \"../b.site\"\n"}};
   ReadResult result = read_site("/s/a.site", memory);
-  std::vector<Diagnostic> said = result.diagnostics.sorted();
-  assert(said.size() == 1 && where(said[0], result.sources) == "/s/in/c.site:3:11");
-  assert((said[0].notes == std::vector<std::string>{"b.site includes c.site", "c.site includes b.site"}));
+  std::vector<Diagnostic> diagnostics = result.diagnostics.sorted();
+  assert(diagnostics.size() == 1 && location_text(diagnostics[0], result.sources) == "/s/in/c.site:3:11");
+  assert(
+      (diagnostics[0].notes == std::vector<std::string>{"b.site includes c.site", "c.site includes b.site"}));
 }
 
-void a_message_shows_its_line_with_a_caret_and_the_fix() {
-  Memory memory;
+void a_diagnostic_is_printed_with_its_line_and_the_fix() {
+  MemoryFileSource memory;
   memory.files["/s/a.site"] =
       kBase + "route all { path /; to one }\nlimits {\n\tbody 64KB  # caf\xc3\xa9\n}\n";
   ReadResult result = read_site("/s/a.site", memory);
@@ -56,21 +57,21 @@
          "    fix: write 64KiB\n");
 }
 
-void a_fix_is_offered_only_where_it_is_sure() {
+void a_fix_is_offered_only_if_it_is_plausible() {
   auto fix = [](ValueType type, const char* raw, double least, double most) {
     return read_value(type, raw, false, least, most).fix;
   };
   assert(fix(ValueType::Time, "750", 1e-3, 60) == "write 750ms");    // 750 s is out of bounds
   assert(fix(ValueType::Time, "5", 1e-3, 60) == "write 5ms or 5s");  // either may be meant
-  assert(fix(ValueType::Time, "0.5", 0.1, 60) == "write 0.5s");      // half a millisecond is too little
+  assert(fix(ValueType::Time, "0.5", 0.1, 60) == "write 0.5s");      // 0.5 ms is below the minimum
   assert(fix(ValueType::Size, "64KB", 1, 1e9) == "write 64KiB");
   assert(fix(ValueType::Time, "2m", 1e-3, 3600) == "write 2min");
   assert(fix(ValueType::Time, "2parsecs", 1e-3, 3600).empty());
   assert(fix(ValueType::Share, "64", 0, 1) == "write 64%");
 }
 
-void all_faults_of_a_file_are_told_at_once() {
-  Memory memory;
+void all_errors_of_a_file_are_reported_at_once() {
+  MemoryFileSource memory;
   memory.files["/s/a.site"] =
       "prefix a {\n  kind readlike\n  target-latency 5\n}\npool b {\n  endpoint x 1.2.3.4\n}\nroute c {\n  "
       "too b\n}\n}\n";
@@ -78,31 +79,31 @@
   assert(result.diagnostics.count() == 6);  // kind, unit, client-timeout, port, `too`, the brace
 }
 
-void a_file_with_a_thousand_faults_tells_some_and_counts_the_rest() {
-  Memory memory;
+void of_a_thousand_errors_some_are_reported_and_the_rest_counted() {
+  MemoryFileSource memory;
   for (int i = 0; i < 1000; ++i) memory.files["/s/a.site"] += "nonsense\n";
   ReadResult result = read_site("/s/a.site", memory);
-  assert(result.diagnostics.count() == 1000 && result.diagnostics.sorted().size() == Diagnostics::kMost);
+  assert(result.diagnostics.count() == 1000 && result.diagnostics.sorted().size() == Diagnostics::kMaxKept);
   assert(to_text(result.diagnostics, result.sources).ends_with("and 800 more\n"));
 }
 
 void a_million_lines_are_read_in_seconds() {
-  Memory memory;
+  MemoryFileSource memory;
   std::string& text = memory.files["/s/a.site"] = kBase;
   for (int i = 0; i < 200000; ++i)
     text += "route r" + std::to_string(i) + " {\n  path /r" + std::to_string(i) + "\n  to one\n  # end\n}\n";
-  auto began = std::chrono::steady_clock::now();
+  auto started_at = std::chrono::steady_clock::now();
   ReadResult result = read_site("/s/a.site", memory);
   assert(result.diagnostics.empty() && result.site.routes.size() == 200000);
   Diagnostics none;
   assert(format(parse(0, text, none)).size() > text.size());
-  double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+  double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
   std::printf("a million lines: %.2f s\n", took);
   assert(took < 20);
 }
 
-void a_site_too_large_for_the_memory_is_refused() {
-  Memory memory;
+void a_site_with_too_many_elements_is_rejected() {
+  MemoryFileSource memory;
   std::string& text = memory.files["/s/a.site"];
   for (std::size_t i = 0; i < kMaxTreeElements + 10; ++i) text += "a\n";
   Diagnostics diagnostics;
@@ -110,14 +111,16 @@
   assert(diagnostics.count() == 1 && tree.items.size() <= kMaxTreeElements);
 }
 
-void nothing_is_read_from_outside_the_folder_by_a_link_either() {
+void a_symbolic_link_out_of_the_folder_is_not_followed() {
   namespace fs = std::filesystem;
   fs::path folder = fs::temp_directory_path() / ("links-" + std::to_string(std::uint64_t(::time(nullptr))));
   fs::create_directories(folder / "site");
   FILE* outside = std::fopen((folder / "outside.inc").c_str(), "w");
-  std::fputs("# secret\n", outside), std::fclose(outside);
+  std::fputs("# secret\n", outside);
+  std::fclose(outside);
   FILE* main = std::fopen((folder / "site/a.site").c_str(), "w");
-  std::fputs("include \"link.inc\"\n", main), std::fclose(main);
+  std::fputs("include \"link.inc\"\n", main);
+  std::fclose(main);
   fs::create_symlink("../outside.inc", folder / "site/link.inc");
   DiskFileSource disk;
   ReadResult result = read_site((folder / "site/a.site").string(), disk);
@@ -126,27 +129,27 @@
          result.diagnostics.sorted()[0].text.find("outside the site's folder") != std::string::npos);
 }
 
-void a_quoted_text_means_the_same_after_both_ways() {
+void quoting_and_unquoting_returns_the_same_text() {
   for (const char* text : {"", "a", "a \"b\"", "\\", "\\n", "a\nb\tc", "\xc3\xa9"}) {
-    std::string written = quoted(text);
+    std::string quoted_text = quote(text);
     Diagnostics none;
-    Tree tree = parse(0, "x " + written, none);
+    Tree tree = parse(0, "x " + quoted_text, none);
     (void)tree;
-    assert(none.empty() && unquote(written) == text);
+    assert(none.empty() && unquote(quoted_text) == text);
   }
 }
 
 }  // namespace
 
 int main() {
-  a_circle_of_three_files_is_shown_whole();
-  a_message_shows_its_line_with_a_caret_and_the_fix();
-  a_fix_is_offered_only_where_it_is_sure();
-  all_faults_of_a_file_are_told_at_once();
-  a_file_with_a_thousand_faults_tells_some_and_counts_the_rest();
+  a_circular_include_is_reported_with_its_chain();
+  a_diagnostic_is_printed_with_its_line_and_the_fix();
+  a_fix_is_offered_only_if_it_is_plausible();
+  all_errors_of_a_file_are_reported_at_once();
+  of_a_thousand_errors_some_are_reported_and_the_rest_counted();
   a_million_lines_are_read_in_seconds();
-  a_site_too_large_for_the_memory_is_refused();
-  nothing_is_read_from_outside_the_folder_by_a_link_either();
-  a_quoted_text_means_the_same_after_both_ways();
-  std::puts("language: all stories hold");
+  a_site_with_too_many_elements_is_rejected();
+  a_symbolic_link_out_of_the_folder_is_not_followed();
+  quoting_and_unquoting_returns_the_same_text();
+  std::puts("language: all tests passed");
 }
--- a/src/config/language/lexer.h
+++ b/src/config/language/lexer.h
@@ -1,4 +1,5 @@
-// A site's text as tokens, one at a time: a file of a million lines is never held as tokens.
+// Splits the text of a site file into tokens, one at a time, so that the memory needed doesn't grow with the
+// file.
 #pragma once
 
 #include <string>
@@ -9,12 +10,12 @@
 namespace puffinvane::language {
 
 struct Token {
-  // End: of an item, by a new line or `;`. Finish: of the file.
-  enum class Kind { Word, Quoted, Open, Close, Comma, End, Comment, Finish };
-  Kind kind = Kind::Finish;
+  // EndOfItem: a new line or `;`.
+  enum class Kind { Word, Quoted, Open, Close, Comma, EndOfItem, Comment, EndOfFile };
+  Kind kind = Kind::EndOfFile;
   SourceLocation location;
-  std::string_view raw;   // as written, quotes and all
-  bool new_line = false;  // of End: by a new line
+  std::string_view raw;   // as written, including quotes
+  bool new_line = false;  // of EndOfItem: a new line, not `;`
 };
 
 class Lexer {
@@ -26,12 +27,14 @@
   Token word();
   Token quoted();
   Token comment();
-  Token single(Token::Kind kind);
-  Token made(Token::Kind kind, std::size_t from, SourceLocation location) const;
+  Token single_character(Token::Kind kind);
+  Token make_token(Token::Kind kind, std::size_t from, SourceLocation location) const;
   bool at_end() const { return at_ >= text_.size(); }
   char peek() const { return text_[at_]; }
-  void pass();           // one character
-  bool pass_doubtful();  // what is no character at all; says so
+  void skip_character();
+  // Skips and reports invalid UTF-8, a control character or a misplaced byte order mark. Returns whether
+  // there was one.
+  bool skip_invalid();
   SourceLocation here() const;
 
   int file_;
@@ -41,8 +44,8 @@
   std::uint32_t line_ = 1, column_ = 1;
 };
 
-// What a quoted text stands for; without quotes the word itself.
+// The text that a quoted text stands for, with its escapes resolved. A word without quotes stands for itself.
 std::string unquote(std::string_view raw);
-std::string quoted(std::string_view text);  // and back
+std::string quote(std::string_view text);
 
 }  // namespace puffinvane::language
--- a/src/config/language/quantity.cpp
+++ b/src/config/language/quantity.cpp
@@ -18,20 +18,20 @@
 
 struct Unit {
   const char* name;
-  double worth;
+  double factor;
 };
 constexpr std::array<Unit, 5> kTimes{{{"ms", 1e-3}, {"s", 1}, {"min", 60}, {"h", 3600}, {"us", 1e-6}}};
 constexpr std::array<Unit, 2> kRates{{{"/s", 1}, {"/min", 1.0 / 60}}};
 constexpr std::array<Unit, 1> kShares{{{"%", 0.01}}};
 constexpr std::array<Unit, 4> kSizes{{{"KiB", 1024}, {"MiB", 1048576}, {"GiB", 1073741824}, {"B", 1}}};
 
-struct Measure {
-  const char* what;
+struct QuantityKind {
+  const char* description;
   const char* example;
   std::span<const Unit> units;
 };
 
-Measure measure_of(ValueType type) {
+QuantityKind quantity_kind(ValueType type) {
   switch (type) {
     case ValueType::Share: return {"a share", "64%", kShares};
     case ValueType::Rate: return {"a rate", "170/s", kRates};
@@ -40,105 +40,111 @@
   }
 }
 
-std::string plain(double value) {
+std::string decimal(double value) {
   std::array<char, 32> digits{};
   auto end =
       std::to_chars(digits.data(), digits.data() + digits.size(), value, std::chars_format::general, 6).ptr;
   return std::string(digits.data(), end);
 }
 
-// As it is best read: in the largest unit that leaves at least one.
-std::string shown(double value, std::span<const Unit> units) {
+// In the largest unit in which the value is at least 1.
+std::string with_unit(double value, std::span<const Unit> units) {
   const Unit* best = nullptr;
   for (const Unit& unit : units) {
-    if (value >= unit.worth && (!best || unit.worth > best->worth)) best = &unit;
+    if (value >= unit.factor && (!best || unit.factor > best->factor)) best = &unit;
   }
   if (!best) best = &units.front();
-  return plain(value / best->worth) + best->name;
+  return decimal(value / best->factor) + best->name;
 }
 
-Value wrong(std::string text, std::string fix = "") {
+Value invalid(std::string text, std::string fix = "") {
   Value value;
-  value.error = std::move(text), value.fix = std::move(fix);
+  value.error = std::move(text);
+  value.fix = std::move(fix);
   return value;
 }
 
-std::string ticked(std::string_view word) {
-  constexpr std::size_t kMost = 60;
-  if (word.size() > kMost) return "`" + std::string(word.substr(0, kMost)) + "...`";
+std::string in_backticks(std::string_view word) {
+  constexpr std::size_t kMaxShown = 60;
+  if (word.size() > kMaxShown) return "`" + std::string(word.substr(0, kMaxShown)) + "...`";
   return "`" + std::string(word) + "`";
 }
 
-// What may stand without a unit or with one that is none: the ways to mend it that stay within the bounds.
-std::string mend(double number, std::string_view digits, const Measure& measure, double least, double most) {
+// Suggests units for a number without one: those with which the value is within the bounds. Of the five units
+// of time only seconds and milliseconds are suggested.
+std::string suggest_units(double number, std::string_view digits, const QuantityKind& kind, double min,
+                          double max) {
   std::string fix;
-  for (const Unit& unit : measure.units) {
-    double value = number * unit.worth;
-    if (value < least || value > most || (measure.units.size() > 4 && unit.worth != 1 && unit.worth != 1e-3))
+  for (const Unit& unit : kind.units) {
+    double value = number * unit.factor;
+    if (value < min || value > max || (kind.units.size() > 4 && unit.factor != 1 && unit.factor != 1e-3))
       continue;
     fix += (fix.empty() ? "write " : " or ") + std::string(digits) + unit.name;
   }
   return fix;
 }
 
-Value quantity(ValueType type, std::string_view raw, double least, double most) {
-  Measure measure = measure_of(type);
+Value read_quantity(ValueType type, std::string_view raw, double min, double max) {
+  QuantityKind kind = quantity_kind(type);
   std::size_t digits = 0;
   while (digits < raw.size() && ((raw[digits] >= '0' && raw[digits] <= '9') || raw[digits] == '.')) ++digits;
   std::string_view number = raw.substr(0, digits), unit = raw.substr(digits);
-  double figure = 0;
+  double amount = 0;
   auto [end, error] =
-      std::from_chars(number.data(), number.data() + number.size(), figure, std::chars_format::fixed);
-  std::string an = std::string(measure.what) + ", as " + measure.example;
+      std::from_chars(number.data(), number.data() + number.size(), amount, std::chars_format::fixed);
+  std::string expected = std::string(kind.description) + ", as " + kind.example;
   if (number.empty() || error != std::errc() || end != number.data() + number.size() ||
       number.back() == '.') {
-    if (raw.starts_with('-')) return wrong(ticked(raw) + " is below nothing: this has to be " + an);
-    return wrong(ticked(raw) + " is no quantity: this has to be " + an);
+    if (raw.starts_with('-'))
+      return invalid(in_backticks(raw) + " is below nothing: this has to be " + expected);
+    return invalid(in_backticks(raw) + " is no quantity: this has to be " + expected);
   }
   if (unit.empty()) {
     std::string units;
-    for (const Unit& one : measure.units) units += (units.empty() ? "" : ", ") + std::string(one.name);
-    return wrong(ticked(raw) + " has no unit: " + measure.what + " needs one of " + units,
-                 mend(figure, number, measure, least, most));
+    for (const Unit& one : kind.units) units += (units.empty() ? "" : ", ") + std::string(one.name);
+    return invalid(in_backticks(raw) + " has no unit: " + kind.description + " needs one of " + units,
+                   suggest_units(amount, number, kind, min, max));
   }
-  for (const Unit& one : measure.units) {
+  for (const Unit& one : kind.units) {
     if (unit != one.name) continue;
     Value value;
-    value.number = figure * one.worth;
-    constexpr double kNear = 1e-9;  // 0.1% and the like are no whole numbers of anything
-    if (value.number < least * (1 - kNear) - kNear * (least == 0))
-      return wrong(ticked(raw) + " is too little: " + shown(least, measure.units) + " at least");
-    if (value.number > most * (1 + kNear))
-      return wrong(ticked(raw) + " is too much: " + shown(most, measure.units) + " at most");
+    value.number = amount * one.factor;
+    constexpr double kTolerance = 1e-9;  // values such as 0.1% have no exact binary representation
+    if (value.number < min * (1 - kTolerance) - kTolerance * (min == 0))
+      return invalid(in_backticks(raw) + " is too little: " + with_unit(min, kind.units) + " at least");
+    if (value.number > max * (1 + kTolerance))
+      return invalid(in_backticks(raw) + " is too much: " + with_unit(max, kind.units) + " at most");
     return value;
   }
-  std::string meant;
-  for (const Unit& one : measure.units) {
-    std::string name = to_lower(one.name), said = to_lower(unit);
-    // KB for KiB, kb, sec, S.
-    if (name == said || (name.size() == 3 && said == std::string{name[0], name[2]}) ||
-        (name == "s" && (said == "sec" || said == "secs" || said == "second" || said == "seconds")) ||
-        (name == "ms" && said == "msec") || (name == "min" && (said == "m" || said == "minutes")) ||
-        (name == "/s" && (said == "rps" || said == "/sec" || said == "/second")))
-      meant = "write " + std::string(number) + one.name;
+  std::string suggestion;
+  for (const Unit& one : kind.units) {
+    std::string name = to_lower(one.name), written = to_lower(unit);
+    // Common spellings of the unit, such as KB or kb for KiB and sec or S for s.
+    if (name == written || (name.size() == 3 && written == std::string{name[0], name[2]}) ||
+        (name == "s" &&
+         (written == "sec" || written == "secs" || written == "second" || written == "seconds")) ||
+        (name == "ms" && written == "msec") || (name == "min" && (written == "m" || written == "minutes")) ||
+        (name == "/s" && (written == "rps" || written == "/sec" || written == "/second")))
+      suggestion = "write " + std::string(number) + one.name;
   }
-  return wrong("`" + std::string(unit.substr(0, 20)) + "` is no unit here: this has to be " + an, meant);
+  return invalid("`" + std::string(unit.substr(0, 20)) + "` is no unit here: this has to be " + expected,
+                 suggestion);
 }
 
-Value figure(ValueType type, std::string_view raw, double least, double most) {
+Value read_number(ValueType type, std::string_view raw, double min, double max) {
   Value value;
   auto [end, error] =
       std::from_chars(raw.data(), raw.data() + raw.size(), value.number, std::chars_format::fixed);
   bool whole = type != ValueType::Count || value.number == std::floor(value.number);
   if (error != std::errc() || end != raw.data() + raw.size() || !std::isfinite(value.number) || !whole)
-    return wrong(ticked(raw) + (type == ValueType::Count ? " is no whole number" : " is no number") +
-                 (value.number > 0 && whole && end != raw.data() ? ": nothing may come behind it" : ""));
-  if (value.number < least) return wrong(ticked(raw) + " is too little: " + plain(least) + " at least");
-  if (value.number > most) return wrong(ticked(raw) + " is too much: " + plain(most) + " at most");
+    return invalid(in_backticks(raw) + (type == ValueType::Count ? " is no whole number" : " is no number") +
+                   (value.number > 0 && whole && end != raw.data() ? ": nothing may come behind it" : ""));
+  if (value.number < min) return invalid(in_backticks(raw) + " is too little: " + decimal(min) + " at least");
+  if (value.number > max) return invalid(in_backticks(raw) + " is too much: " + decimal(max) + " at most");
   return value;
 }
 
-Value choice(std::string_view raw, const char* what, const std::vector<std::string>& words) {
+Value read_choice(std::string_view raw, const char* what, const std::vector<std::string>& words) {
   for (std::size_t i = 0; i < words.size(); ++i) {
     if (raw != words[i]) continue;
     Value value;
@@ -148,32 +154,32 @@
   std::string all;
   for (std::size_t i = 0; i < words.size(); ++i)
     all += (i == 0 ? "" : i + 1 == words.size() ? " or " : ", ") + words[i];
-  std::string meant = site::closest_name(to_lower(raw), words);
+  std::string suggestion = site::closest_name(to_lower(raw), words);
   for (const std::string& word : words) {
-    if (to_lower(raw) == word) meant = word;
+    if (to_lower(raw) == word) suggestion = word;
   }
-  return wrong(ticked(raw) + " is no " + what + ": " + all,
-               meant.empty() ? "" : "did you mean `" + meant + "`?");
+  return invalid(in_backticks(raw) + " is no " + what + ": " + all,
+                 suggestion.empty() ? "" : "did you mean `" + suggestion + "`?");
 }
 
-Value address(std::string_view raw) {
+Value read_address(std::string_view raw) {
   std::size_t colon = raw.rfind(':');
   std::string form = ": an address is an IP and a port, as 127.0.0.1:5001 or [::1]:5001";
   if (colon == std::string_view::npos || (raw.starts_with('[') && raw.ends_with(']')))
-    return wrong(ticked(raw) + " has no port" + form);
+    return invalid(in_backticks(raw) + " has no port" + form);
   std::string host(raw.substr(0, colon));
   std::string_view port = raw.substr(colon + 1);
   int number = 0;
   auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), number);
   if (error != std::errc() || end != port.data() + port.size() || number < 1 || number > 65535)
-    return wrong(ticked(port) + " is no port: 1 to 65535");
-  std::array<unsigned char, 16> ignored{};
-  bool six = host.size() > 2 && host.front() == '[' && host.back() == ']';
-  if (six) host = host.substr(1, host.size() - 2);
+    return invalid(in_backticks(port) + " is no port: 1 to 65535");
+  std::array<unsigned char, 16> parsed{};
+  bool is_ipv6 = host.size() > 2 && host.front() == '[' && host.back() == ']';
+  if (is_ipv6) host = host.substr(1, host.size() - 2);
   if (host == "localhost")
-    return wrong("`localhost` is a name" + form, "write 127.0.0.1:" + std::string(port));
-  if (inet_pton(six ? AF_INET6 : AF_INET, host.c_str(), ignored.data()) != 1)
-    return wrong(ticked(host) + " is no IP address" + form);
+    return invalid("`localhost` is a name" + form, "write 127.0.0.1:" + std::string(port));
+  if (inet_pton(is_ipv6 ? AF_INET6 : AF_INET, host.c_str(), parsed.data()) != 1)
+    return invalid(in_backticks(host) + " is no IP address" + form);
   Value value;
   value.text = std::string(raw);
   return value;
@@ -188,11 +194,11 @@
 }
 
 bool is_name(std::string_view word) {
-  auto letter = [](char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; };
+  auto is_letter = [](char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; };
   if (word.empty() || word.size() > 64) return false;
-  if (!letter(word.front()) && !(word.front() >= '0' && word.front() <= '9')) return false;
+  if (!is_letter(word.front()) && !(word.front() >= '0' && word.front() <= '9')) return false;
   return std::all_of(word.begin(), word.end(),
-                     [&](char c) { return letter(c) || (c >= '0' && c <= '9') || c == '-' || c == '.'; });
+                     [&](char c) { return is_letter(c) || (c >= '0' && c <= '9') || c == '-' || c == '.'; });
 }
 
 bool is_token(std::string_view word) {
@@ -234,10 +240,10 @@
   return plain ? "" : "this is no host, as www.example.org";
 }
 
-Value read_value(ValueType type, std::string_view raw, bool quoted, double least, double most) {
+Value read_value(ValueType type, std::string_view raw, bool quoted, double min, double max) {
   Value value;
   if (quoted && type != ValueType::Text && type != ValueType::Name)
-    return wrong(ticked(raw) + " is a text: this is written without quotes", "write " + unquote(raw));
+    return invalid(in_backticks(raw) + " is a text: this is written without quotes", "write " + unquote(raw));
   switch (type) {
     case ValueType::TimeOrOff:
       if (raw == "off") return value;
@@ -245,17 +251,17 @@
     case ValueType::Time:
     case ValueType::Share:
     case ValueType::Rate:
-    case ValueType::Size: return quantity(type, raw, least, most);
+    case ValueType::Size: return read_quantity(type, raw, min, max);
     case ValueType::Count:
-    case ValueType::Number: return figure(type, raw, least, most);
-    case ValueType::Switch: return choice(raw, "switch", {"off", "on"});
-    case ValueType::Kind: return choice(raw, "kind", {"read-like", "tagged", "mutating"});
-    case ValueType::Group: return choice(raw, "group", {"all", "zone", "cell"});
-    case ValueType::Address: return address(raw);
+    case ValueType::Number: return read_number(type, raw, min, max);
+    case ValueType::Switch: return read_choice(raw, "switch", {"off", "on"});
+    case ValueType::Kind: return read_choice(raw, "kind", {"read-like", "tagged", "mutating"});
+    case ValueType::Group: return read_choice(raw, "group", {"all", "zone", "cell"});
+    case ValueType::Address: return read_address(raw);
     case ValueType::Name:
       value.text = unquote(raw);
       if (!is_name(value.text))
-        return wrong(ticked(raw) + " is no name: letters, digits, `-`, `.` and `_`, 64 at most");
+        return invalid(in_backticks(raw) + " is no name: letters, digits, `-`, `.` and `_`, 64 at most");
       return value;
     case ValueType::Text: value.text = unquote(raw); return value;
   }
--- a/src/config/language/quantity.h
+++ b/src/config/language/quantity.h
@@ -1,4 +1,4 @@
-// Quantities with their units, and the other words that a site's values are made of.
+// Parses and checks the values in a site file: quantities with units, names, addresses, paths and others.
 #pragma once
 
 #include <string>
@@ -23,17 +23,19 @@
 };
 
 struct Value {
-  double number = 0;  // seconds, a second, bytes, 0 to 1
+  double number = 0;  // in seconds, per second, in bytes, or a share from 0 to 1
   std::string text;
-  std::string error, fix;  // wrong: empty if it can be used
+  std::string error, fix;  // error: empty if the value is valid
 };
 
-// least and most: in the unit that the number has.
-Value read_value(ValueType type, std::string_view raw, bool quoted, double least, double most);
+// min and max: in the unit of Value::number.
+Value read_value(ValueType type, std::string_view raw, bool quoted, double min, double max);
 
 bool is_name(std::string_view word);
-bool is_token(std::string_view word);           // of HTTP: methods and names of headers
-std::string path_error(std::string_view path);  // empty: nothing
+// A token as defined by HTTP, for methods and header names.
+bool is_token(std::string_view word);
+// What is wrong with the path or host; empty if it is valid.
+std::string path_error(std::string_view path);
 std::string host_error(std::string_view host);
 std::string to_lower(std::string_view text);
 
--- a/src/config/language/read.cpp
+++ b/src/config/language/read.cpp
@@ -32,8 +32,8 @@
 using site::Tenant;
 
 std::optional<std::string> DiskFileSource::read(const std::string& path) {
-  std::error_code fault;
-  if (!fs::is_regular_file(path, fault) || fs::file_size(path, fault) > kMost || fault) return {};
+  std::error_code error;
+  if (!fs::is_regular_file(path, error) || fs::file_size(path, error) > kMaxFileBytes || error) return {};
   std::ifstream file(path, std::ios::binary);
   if (!file) return {};
   std::ostringstream text;
@@ -42,29 +42,30 @@
 }
 
 std::string DiskFileSource::canonical_path(const std::string& path) {
-  std::error_code fault;
-  fs::path real = fs::weakly_canonical(path, fault);
-  return fault ? fs::path(path).lexically_normal().string() : real.string();
+  std::error_code error;
+  fs::path real = fs::weakly_canonical(path, error);
+  return error ? fs::path(path).lexically_normal().string() : real.string();
 }
 
 namespace {
 
-constexpr std::size_t kMostBytes = DiskFileSource::kMost;  // of all files of one site
-constexpr std::size_t kMostFiles = 1000, kDeepestDefine = 16;
-constexpr double kDay = 86400, kMuch = 1e9;
+constexpr std::size_t kMaxTotalBytes = DiskFileSource::kMaxFileBytes;  // of all files of a site
+constexpr std::size_t kMaxFiles = 1000;
+constexpr std::size_t kMaxDefineDepth = 16;  // of definitions that refer to others; stops circular ones
+constexpr double kDay = 86400, kMaxRate = 1e9;
 
-std::string ticked(std::string_view word) { return "`" + std::string(word.substr(0, 60)) + "`"; }
-std::string a(std::string_view word) {
+std::string in_backticks(std::string_view word) { return "`" + std::string(word.substr(0, 60)) + "`"; }
+std::string with_article(std::string_view word) {
   bool vowel = !word.empty() && std::string_view("aeiou").find(word.front()) != std::string_view::npos;
-  return (vowel ? "an " : "a ") + ticked(word);
+  return (vowel ? "an " : "a ") + in_backticks(word);
 }
 
-// One key of a section: how its value is written, within which bounds, and where it goes.
+// A key of a section: the type and bounds of its value, and the function that sets it.
 template <typename T>
 struct Key {
   const char* word;
   ValueType type;
-  double least, most;
+  double min, max;
   void (*set)(T&, const Value&);
   bool required = false;
 };
@@ -78,7 +79,7 @@
      [](Limits& it, const Value& v) { it.body = std::size_t(v.number); }},
     {"instances", ValueType::Count, 1, 1000,
      [](Limits& it, const Value& v) { it.instances = int(v.number); }},
-    {"visits", ValueType::Rate, 0.001, kMuch, [](Limits& it, const Value& v) { it.requests = v.number; }},
+    {"visits", ValueType::Rate, 0.001, kMaxRate, [](Limits& it, const Value& v) { it.requests = v.number; }},
 });
 constexpr auto kListenerKeys = std::to_array<Key<Listener>>({
     {"address", ValueType::Address, 0, 0, [](Listener& it, const Value& v) { it.address = v.text; }, true},
@@ -105,7 +106,7 @@
      [](Pool& it, const Value& v) { it.slow_start_share = v.number; }},
     {"warm-after", ValueType::Time, 1e-3, kDay, [](Pool& it, const Value& v) { it.warm_after = v.number; }},
 });
-constexpr auto kPrefixKeys = std::to_array<Key<RequestClass>>({
+constexpr auto kRequestClassKeys = std::to_array<Key<RequestClass>>({
     {"kind", ValueType::Kind, 0, 0,
      [](RequestClass& it, const Value& v) { it.idempotency = Idempotency(int(v.number)); }, true},
     {"group", ValueType::Group, 0, 0,
@@ -119,9 +120,9 @@
     {"credit", ValueType::Number, 0, 1e6,
      [](RequestClass& it, const Value& v) { it.priority_weight = v.number; }},
 });
-constexpr auto kCustomerKeys = std::to_array<Key<Tenant>>({
+constexpr auto kTenantKeys = std::to_array<Key<Tenant>>({
     {"share", ValueType::Share, 0.0001, 1, [](Tenant& it, const Value& v) { it.share = v.number; }},
-    {"quota", ValueType::Rate, 0.001, kMuch, [](Tenant& it, const Value& v) { it.quota = v.number; }},
+    {"quota", ValueType::Rate, 0.001, kMaxRate, [](Tenant& it, const Value& v) { it.quota = v.number; }},
 });
 
 class Reader {
@@ -130,47 +131,51 @@
 
   void read(const std::string& path) {
     fs::path root = files_.canonical_path(path);
-    folder_ = root.parent_path().string();
+    site_folder_ = root.parent_path().string();
     std::optional<std::string> text = files_.read(path);
     if (!text) {
       result_.found = false;
       return;
     }
     load(path, root.string(), std::move(*text));
-    bool sound = result_.diagnostics.empty();  // after a fault of syntax whole parts may be missing
-    defines();
-    for (const Item* item : items_) section(*item);
-    default_prefixes();
+    bool syntax_valid = result_.diagnostics.empty();  // after a syntax error whole parts may be missing
+    read_defines();
+    for (const Item* item : items_) read_section(*item);
+    set_default_request_classes();
     std::vector<Finding> findings = check(result_.site);
-    bool other =
+    bool other_findings =
         std::any_of(findings.begin(), findings.end(), [](const Finding& it) { return !it.is_omission; });
+    // Findings that may only be consequences of errors reported before are dropped. Those that start with "no
+    // " are about names that aren't declared.
     for (const Finding& finding : findings) {
-      if ((finding.is_omission && (other || !sound || !spoilt_.empty())) || doubtful(finding.subject))
+      if ((finding.is_omission && (other_findings || !syntax_valid || !incomplete_.empty())) ||
+          is_incomplete(finding.subject))
         continue;
-      if (!sound && finding.text.starts_with("no ")) continue;
+      if (!syntax_valid && finding.text.starts_with("no ")) continue;
       diagnostics().add(location_of(finding.subject), finding.text, finding.fix);
     }
   }
 
  private:
   Diagnostics& diagnostics() { return result_.diagnostics; }
-  Site& made() { return result_.site; }
+  Site& site() { return result_.site; }
 
   // ---- files
-  void load(const std::string& path, const std::string& real, std::string text) {
+  // Parses a file and, recursively, the files that it includes.
+  void load(const std::string& path, const std::string& canonical, std::string text) {
     bytes_ += text.size();
     int file = result_.sources.add(path, std::move(text));
-    loaded_.emplace(real, file);
-    trees_.push_back(parse(file, result_.sources.text(file), diagnostics(), room_));
-    chain_.push_back(real);
+    loaded_.emplace(canonical, file);
+    trees_.push_back(parse(file, result_.sources.text(file), diagnostics(), remaining_elements_));
+    include_chain_.push_back(canonical);
     const Tree& tree = trees_.back();
     for (const Item& item : tree.items) {
       if (item.word == "include") include(item, path);
       else items_.push_back(&item);
     }
-    chain_.pop_back();
+    include_chain_.pop_back();
   }
-  std::string spot(const SourceLocation& location) const {
+  std::string to_text(const SourceLocation& location) const {
     return result_.sources.path(location.file) + ":" + std::to_string(location.line) + ":" +
            std::to_string(location.column);
   }
@@ -183,34 +188,35 @@
     if (name.empty() || name.find('\0') != std::string::npos)
       return diagnostics().add(argument.location, "this names no file");
     fs::path path = fs::path(from).parent_path() / name;
-    std::string real = files_.canonical_path(path.string());
-    fs::path inside = fs::path(real).lexically_relative(folder_);
+    std::string canonical = files_.canonical_path(path.string());
+    fs::path inside = fs::path(canonical).lexically_relative(site_folder_);
     if (inside.empty() || *inside.begin() == "..")
       return diagnostics().add(argument.location,
-                               "the file lies outside the site's folder, " + ticked(folder_));
-    auto again = std::find(chain_.begin(), chain_.end(), real);
-    if (again != chain_.end()) {
+                               "the file lies outside the site's folder, " + in_backticks(site_folder_));
+    auto first = std::find(include_chain_.begin(), include_chain_.end(), canonical);
+    if (first != include_chain_.end()) {
       std::vector<std::string> notes;
-      for (auto at = again; at != chain_.end(); ++at) {
-        const std::string& next = at + 1 == chain_.end() ? real : *(at + 1);
+      for (auto at = first; at != include_chain_.end(); ++at) {
+        const std::string& next = at + 1 == include_chain_.end() ? canonical : *(at + 1);
         notes.push_back(fs::path(*at).filename().string() + " includes " +
                         fs::path(next).filename().string());
       }
       return diagnostics().add(argument.location, "includes in a circle", "", std::move(notes));
     }
-    if (loaded_.contains(real)) return diagnostics().add(argument.location, "this file is included already");
-    if (loaded_.size() >= kMostFiles) return diagnostics().add(argument.location, "more than 1000 files");
+    if (loaded_.contains(canonical))
+      return diagnostics().add(argument.location, "this file is included already");
+    if (loaded_.size() >= kMaxFiles) return diagnostics().add(argument.location, "more than 1000 files");
     std::optional<std::string> text = files_.read(path.string());
-    if (text && bytes_ + text->size() > kMostBytes)
+    if (text && bytes_ + text->size() > kMaxTotalBytes)
       return diagnostics().add(argument.location, "the site's files have more than 64MiB together");
     if (!text)
       return diagnostics().add(argument.location,
-                               "no file " + ticked(name) + " that can be read, up to 64MiB");
-    load(path.lexically_normal().string(), real, std::move(*text));
+                               "no file " + in_backticks(name) + " that can be read, up to 64MiB");
+    load(path.lexically_normal().string(), canonical, std::move(*text));
   }
 
   // ---- named values
-  void defines() {
+  void read_defines() {
     for (const Item* item : items_) {
       if (item->word != "define" || item->is_malformed) continue;
       if (item->arguments.size() < 2 || item->has_block) {
@@ -223,22 +229,23 @@
                           "write " + std::string(name.substr(1)));
         name.remove_prefix(1);
       }
-      if (!is_name(name)) diagnostics().add(item->arguments.front().location, ticked(name) + " is no name");
+      if (!is_name(name))
+        diagnostics().add(item->arguments.front().location, in_backticks(name) + " is no name");
       if (!defined_.emplace(std::string(name), item).second)
-        diagnostics().add(item->arguments.front().location, "a second value named " + ticked(name), "",
-                          {"the first is at " + spot(defined_.at(std::string(name))->location)});
+        diagnostics().add(item->arguments.front().location, "a second value named " + in_backticks(name), "",
+                          {"the first is at " + to_text(defined_.at(std::string(name))->location)});
     }
   }
-  // Arguments with the named values in their places.
+  // The arguments, with named values replaced by their definitions.
   std::vector<Argument> resolved(const Item& item) {
     std::vector<Argument> all;
-    for (const Argument& argument : item.arguments) add_resolved(argument, argument, all, 0);
+    for (const Argument& argument : item.arguments) append_resolved(argument, argument, all, 0);
     return all;
   }
-  void add_resolved(const Argument& argument, const Argument& used, std::vector<Argument>& into,
-                    std::size_t depth) {
+  void append_resolved(const Argument& argument, const Argument& used, std::vector<Argument>& resolved,
+                       std::size_t depth) {
     if (argument.quoted || !argument.raw.starts_with('$')) {
-      into.push_back({argument.raw, used.location, argument.quoted, used.after_comma});
+      resolved.push_back({argument.raw, used.location, argument.quoted, used.after_comma});
       return;
     }
     std::string name(argument.raw.substr(1));
@@ -246,51 +253,53 @@
     if (found == defined_.end()) {
       std::vector<std::string> names;
       for (const auto& [one, item] : defined_) names.push_back(one);
-      std::string meant = closest_name(name, names);
-      diagnostics().add(used.location, "no value is named " + ticked(argument.raw),
-                        meant.empty() ? "" : "did you mean `$" + meant + "`?");
+      std::string suggestion = closest_name(name, names);
+      diagnostics().add(used.location, "no value is named " + in_backticks(argument.raw),
+                        suggestion.empty() ? "" : "did you mean `$" + suggestion + "`?");
       return;
     }
-    if (depth >= kDeepestDefine || into.size() > 1000)
-      return diagnostics().add(used.location, ticked(argument.raw) + " is defined by way of itself");
+    if (depth >= kMaxDefineDepth || resolved.size() > 1000)
+      return diagnostics().add(used.location, in_backticks(argument.raw) + " is defined by way of itself");
     const std::vector<Argument>& value = found->second->arguments;
     for (std::size_t i = 1; i < value.size(); ++i) {
       Argument next = used;
       next.after_comma = i == 1 ? used.after_comma : value[i].after_comma;
       std::size_t before = diagnostics().count();
-      add_resolved(value[i], next, into, depth + 1);
-      if (diagnostics().count() != before) return;  // a circle is said once
+      append_resolved(value[i], next, resolved, depth + 1);
+      if (diagnostics().count() != before) return;  // a circular definition is reported once
     }
   }
 
   // ---- sections
-  using Section = void (Reader::*)(const Item&);
-  void section(const Item& item) {
-    static const std::map<std::string_view, Section> kSections = {
-        {"site", &Reader::site_name},    {"define", nullptr},      {"limits", &Reader::limits},
-        {"listener", &Reader::listener}, {"pool", &Reader::pool},  {"prefix", &Reader::prefix},
-        {"customer", &Reader::tenant},   {"route", &Reader::route}};
+  using SectionReader = void (Reader::*)(const Item&);
+  void read_section(const Item& item) {
+    static const std::map<std::string_view, SectionReader> kSections = {
+        {"site", &Reader::read_site_name},  {"define", nullptr},
+        {"limits", &Reader::read_limits},   {"listener", &Reader::read_listener},
+        {"pool", &Reader::read_pool},       {"prefix", &Reader::read_request_class},
+        {"customer", &Reader::read_tenant}, {"route", &Reader::read_route}};
     auto found = kSections.find(item.word);
-    if (item.is_malformed) spoilt_.insert("site");
+    if (item.is_malformed) incomplete_.insert("site");
     if (item.is_malformed && (!item.has_block || found == kSections.end())) return;
     if (found == kSections.end()) {
-      spoilt_.insert("site");
+      incomplete_.insert("site");
       std::vector<std::string> words{"include"};
       for (const auto& [word, read] : kSections) words.emplace_back(word);
-      return unknown(item, "a site", words);
+      return report_unknown(item, "a site", words);
     }
     if (found->second) (this->*found->second)(item);
   }
-  void unknown(const Item& item, const std::string& whose, const std::vector<std::string>& words) {
-    std::string meant = closest_name(std::string(item.word), words);
+  void report_unknown(const Item& item, const std::string& whose, const std::vector<std::string>& words) {
+    std::string suggestion = closest_name(std::string(item.word), words);
     std::string all;
     for (const std::string& word : words) all += (all.empty() ? "" : ", ") + word;
-    diagnostics().add(item.location, ticked(item.word) + " is nothing that " + whose + " has: " + all,
-                      meant.empty() ? "" : "did you mean `" + meant + "`?");
+    diagnostics().add(item.location, in_backticks(item.word) + " is nothing that " + whose + " has: " + all,
+                      suggestion.empty() ? "" : "did you mean `" + suggestion + "`?");
   }
-  void note(const std::string& subject, const SourceLocation& location) {
+  void set_location(const std::string& subject, const SourceLocation& location) {
     locations_.emplace(subject, location);
   }
+  // The location of the subject or, if none is known, of the nearest one that contains it.
   SourceLocation location_of(std::string subject) const {
     while (true) {
       auto found = locations_.find(subject);
@@ -300,14 +309,17 @@
       subject.resize(cut);
     }
   }
-  bool doubtful(const std::string& subject) const {
-    return spoilt_.contains(subject.substr(0, std::min(subject.find_first_of("/#"), subject.size())));
+  // Whether errors were reported in the section of this subject. Further findings about it may be
+  // consequences.
+  bool is_incomplete(const std::string& subject) const {
+    return incomplete_.contains(subject.substr(0, std::min(subject.find_first_of("/#"), subject.size())));
   }
-  // `word name {`: the name, or none if it can't be used. `extra`: arguments behind the name.
-  std::optional<std::string> open(const Item& item, const std::string& example, std::size_t extra = 0) {
+  // Reads the name of a section, `word name {`. Empty if it is invalid, which is reported. extra: the number
+  // of arguments allowed after the name.
+  std::optional<std::string> read_name(const Item& item, const std::string& example, std::size_t extra = 0) {
     std::vector<Argument> arguments = resolved(item);
     if (arguments.empty()) {
-      diagnostics().add(item.location, ticked(item.word) + " needs a name, as in " + example);
+      diagnostics().add(item.location, in_backticks(item.word) + " needs a name, as in " + example);
     } else if (arguments.size() > 1 + extra) {
       diagnostics().add(arguments[1 + extra].location, "nothing more belongs here: " + example);
     } else if (Value name = read_value(ValueType::Name, arguments[0].raw, arguments[0].quoted, 0, 0);
@@ -316,29 +328,33 @@
     } else {
       return name.text;
     }
-    spoilt_.insert("site");
+    incomplete_.insert("site");
     return {};
   }
-  std::string opened(const Item& item, const std::string& name) {
+  // Registers a section with its location and returns its subject. Reports a missing block.
+  std::string begin_section(const Item& item, const std::string& name) {
     std::string subject = std::string(item.word) + " " + name;
     if (locations_.contains(subject))
-      note(subject + "#2", item.arguments.empty() ? item.location : item.arguments[0].location);
-    note(subject, item.arguments.empty() ? item.location : item.arguments[0].location);
-    if (item.is_malformed) spoilt_.insert(subject);
+      set_location(subject + "#2", item.arguments.empty() ? item.location : item.arguments[0].location);
+    set_location(subject, item.arguments.empty() ? item.location : item.arguments[0].location);
+    if (item.is_malformed) incomplete_.insert(subject);
     if (!item.has_block && !item.is_malformed) {
-      diagnostics().add(item.location, ticked(item.word) + " has no block",
+      diagnostics().add(item.location, in_backticks(item.word) + " has no block",
                         "add `{` and `}` with what it has");
-      spoilt_.insert(subject);
+      incomplete_.insert(subject);
     }
     return subject;
   }
-  void spoil(const std::string& subject) { spoilt_.insert(subject.substr(0, subject.find('/'))); }
+  void mark_incomplete(const std::string& subject) {
+    incomplete_.insert(subject.substr(0, subject.find('/')));
+  }
 
-  // A section's values by its table; what the table doesn't know goes to `special`, which says if it did.
+  // Reads the keys of a section. `special` is called for keys that the table lacks and returns whether it
+  // knows them; `more` lists these for error messages.
   template <typename T, std::size_t N>
-  void values(const Item& item, const std::string& subject, const std::array<Key<T>, N>& keys, T& into,
-              const std::function<bool(const Item&)>& special = {},
-              const std::vector<std::string>& more = {}) {
+  void read_values(const Item& item, const std::string& subject, const std::array<Key<T>, N>& keys, T& into,
+                   const std::function<bool(const Item&)>& special = {},
+                   const std::vector<std::string>& more = {}) {
     std::map<std::string_view, SourceLocation> seen;
     for (const Item& one : item.block) {
       auto key =
@@ -347,158 +363,174 @@
         if (special && special(one)) continue;
         std::vector<std::string> words = more;
         for (const Key<T>& it : keys) words.emplace_back(it.word);
-        spoil(subject);
-        unknown(one, a(item.word), words);
+        mark_incomplete(subject);
+        report_unknown(one, with_article(item.word), words);
         continue;
       }
-      if (!once(one, seen)) {
-        spoil(subject);
+      if (!check_single(one, seen)) {
+        mark_incomplete(subject);
         continue;
       }
-      if (std::optional<Value> value = one_value(one, subject, key->type, key->least, key->most))
+      if (std::optional<Value> value = read_single_value(one, subject, key->type, key->min, key->max))
         key->set(into, *value);
     }
     for (const Key<T>& key : keys) {
       if (!key.required || seen.contains(key.word) || !item.has_block || item.is_malformed) continue;
-      diagnostics().add(item.location, ticked(item.word) + " needs " + a(key.word));
-      spoil(subject);
+      diagnostics().add(item.location, in_backticks(item.word) + " needs " + with_article(key.word));
+      mark_incomplete(subject);
     }
   }
-  bool once(const Item& item, std::map<std::string_view, SourceLocation>& seen) {
-    auto [first, fresh] = seen.emplace(item.word, item.location);
-    if (!fresh)
-      diagnostics().add(item.location, "a second " + ticked(item.word), "",
-                        {"the first is at " + spot(first->second)});
-    return fresh;
-  }
-  std::optional<Value> one_value(const Item& item, const std::string& subject, ValueType type, double least,
-                                 double most) {
-    std::size_t said = diagnostics().count();
+  // Reports a key that occurs a second time in its section.
+  bool check_single(const Item& item, std::map<std::string_view, SourceLocation>& seen) {
+    auto [first, is_new] = seen.emplace(item.word, item.location);
+    if (!is_new)
+      diagnostics().add(item.location, "a second " + in_backticks(item.word), "",
+                        {"the first is at " + to_text(first->second)});
+    return is_new;
+  }
+  // The only value of a key. Empty if it is missing or invalid, which is reported.
+  std::optional<Value> read_single_value(const Item& item, const std::string& subject, ValueType type,
+                                         double min, double max) {
+    std::size_t errors_before = diagnostics().count();
     std::vector<Argument> arguments = resolved(item);
-    if (item.has_block) diagnostics().add(item.location, ticked(item.word) + " has a value, not a block");
-    else if (arguments.empty() && diagnostics().count() == said)
-      diagnostics().add(item.location, ticked(item.word) + " needs a value");
+    if (item.has_block)
+      diagnostics().add(item.location, in_backticks(item.word) + " has a value, not a block");
+    else if (arguments.empty() && diagnostics().count() == errors_before)
+      diagnostics().add(item.location, in_backticks(item.word) + " needs a value");
     else if (arguments.size() > 1) {
       std::string joined = std::string(arguments[0].raw) + std::string(arguments[1].raw);
-      bool split = arguments.size() == 2 && read_value(type, joined, false, least, most).error.empty();
-      diagnostics().add(arguments[1].location,
-                        split ? "a quantity has no blank in it" : ticked(item.word) + " takes one value",
-                        split ? "write " + joined : "");
+      bool valid_if_joined = arguments.size() == 2 && read_value(type, joined, false, min, max).error.empty();
+      diagnostics().add(
+          arguments[1].location,
+          valid_if_joined ? "a quantity has no blank in it" : in_backticks(item.word) + " takes one value",
+          valid_if_joined ? "write " + joined : "");
     } else if (!arguments.empty()) {
-      Value value = read_value(type, arguments[0].raw, arguments[0].quoted, least, most);
-      note(subject + "/" + std::string(item.word), arguments[0].location);
+      Value value = read_value(type, arguments[0].raw, arguments[0].quoted, min, max);
+      set_location(subject + "/" + std::string(item.word), arguments[0].location);
       if (value.error.empty()) return value;
-      diagnostics().add(arguments[0].location, value.error, value.fix, named_at(item));
+      diagnostics().add(arguments[0].location, value.error, value.fix, definition_notes(item));
     }
-    spoil(subject);
+    mark_incomplete(subject);
     return {};
   }
-  std::vector<std::string> named_at(const Item& item) const {
+  // Notes with the locations where the named values in the arguments are defined.
+  std::vector<std::string> definition_notes(const Item& item) const {
     std::vector<std::string> notes;
     for (const Argument& argument : item.arguments) {
       if (argument.quoted || !argument.raw.starts_with('$')) continue;
       auto found = defined_.find(std::string(argument.raw.substr(1)));
-      if (found != defined_.end()) notes.push_back("its value stands at " + spot(found->second->location));
+      if (found != defined_.end()) notes.push_back("its value stands at " + to_text(found->second->location));
     }
     return notes;
   }
 
-  void site_name(const Item& item) {
-    if (std::exchange(named_, true)) return diagnostics().add(item.location, "a second `site`");
+  void read_site_name(const Item& item) {
+    if (std::exchange(has_name_, true)) return diagnostics().add(item.location, "a second `site`");
     if (item.has_block) return diagnostics().add(item.location, "`site` takes a name and no block");
-    if (auto name = open(item, "site leuven")) made().name = *name, note("site", item.location);
+    if (auto name = read_name(item, "site leuven")) {
+      site().name = *name;
+      set_location("site", item.location);
+    }
   }
-  void limits(const Item& item) {
-    if (std::exchange(limited_, true)) return diagnostics().add(item.location, "a second `limits`");
+  void read_limits(const Item& item) {
+    if (std::exchange(has_limits_, true)) return diagnostics().add(item.location, "a second `limits`");
     if (!item.arguments.empty()) diagnostics().add(item.arguments[0].location, "`limits` has no name");
     if (!item.has_block) return diagnostics().add(item.location, "`limits` has no block");
-    values(item, "limits", kLimitKeys, made().limits);
+    read_values(item, "limits", kLimitKeys, site().limits);
   }
-  void listener(const Item& item) {
-    auto name = open(item, "listener main {");
+  void read_listener(const Item& item) {
+    auto name = read_name(item, "listener main {");
     Listener read{name.value_or(""), ""};
-    values(item, opened(item, read.name), kListenerKeys, read);
-    if (name) made().listeners.push_back(std::move(read));
+    read_values(item, begin_section(item, read.name), kListenerKeys, read);
+    if (name) site().listeners.push_back(std::move(read));
   }
-  void pool(const Item& item) {
-    auto name = open(item, "pool status {");
+  void read_pool(const Item& item) {
+    auto name = read_name(item, "pool status {");
     Pool read;
     read.name = name.value_or("");
-    std::string of = opened(item, read.name);
-    values(item, of, kPoolKeys, read,
-           [&](const Item& one) {
-             if (one.word != "endpoint") return false;
-             endpoint(one, of, read);
-             return true;
-           },
-           {"endpoint"});
-    if (name) made().pools.push_back(std::move(read));
-  }
-  void endpoint(const Item& item, const std::string& of, Pool& pool) {
+    std::string subject = begin_section(item, read.name);
+    read_values(item, subject, kPoolKeys, read,
+                [&](const Item& one) {
+                  if (one.word != "endpoint") return false;
+                  read_endpoint(one, subject, read);
+                  return true;
+                },
+                {"endpoint"});
+    if (name) site().pools.push_back(std::move(read));
+  }
+  void read_endpoint(const Item& item, const std::string& pool_subject, Pool& pool) {
     std::vector<Argument> arguments = resolved(item);
     if (arguments.size() != 2) {
       diagnostics().add(item.location,
                         "an endpoint has a name and an address, as endpoint one 127.0.0.1:6000");
-      return spoil(of);
+      return mark_incomplete(pool_subject);
     }
     Value name = read_value(ValueType::Name, arguments[0].raw, arguments[0].quoted, 0, 0);
     Value address = read_value(ValueType::Address, arguments[1].raw, arguments[1].quoted, 0, 0);
     Endpoint read{name.text, address.text, "", 0, 1};
-    std::string its = of + "/endpoint " + name.text;
-    if (locations_.contains(its)) note(its + "#2", arguments[0].location);
-    note(its, arguments[0].location), note(its + "/address", arguments[1].location);
-    if (!name.error.empty()) diagnostics().add(arguments[0].location, name.error, name.fix), spoil(of);
-    if (!address.error.empty())
-      diagnostics().add(arguments[1].location, address.error, address.fix), spoil(of);
-    values(item, its, kEndpointKeys, read);
+    std::string subject = pool_subject + "/endpoint " + name.text;
+    if (locations_.contains(subject)) set_location(subject + "#2", arguments[0].location);
+    set_location(subject, arguments[0].location);
+    set_location(subject + "/address", arguments[1].location);
+    if (!name.error.empty()) {
+      diagnostics().add(arguments[0].location, name.error, name.fix);
+      mark_incomplete(pool_subject);
+    }
+    if (!address.error.empty()) {
+      diagnostics().add(arguments[1].location, address.error, address.fix);
+      mark_incomplete(pool_subject);
+    }
+    read_values(item, subject, kEndpointKeys, read);
     pool.endpoints.push_back(std::move(read));
   }
-  void prefix(const Item& item) {
-    auto name = open(item, "prefix status {");
+  void read_request_class(const Item& item) {
+    auto name = read_name(item, "prefix status {");
     RequestClass read;
     read.name = name.value_or("");
-    values(item, opened(item, read.name), kPrefixKeys, read);
-    if (name) made().request_classes.push_back(std::move(read));
+    read_values(item, begin_section(item, read.name), kRequestClassKeys, read);
+    if (name) site().request_classes.push_back(std::move(read));
   }
-  void tenant(const Item& item) {
-    auto name = open(item, "customer leuven {");
+  void read_tenant(const Item& item) {
+    auto name = read_name(item, "customer leuven {");
     Tenant read;
     read.name = name.value_or("");
-    values(item, opened(item, read.name), kCustomerKeys, read);
-    if (name) made().tenants.push_back(std::move(read));
+    read_values(item, begin_section(item, read.name), kTenantKeys, read);
+    if (name) site().tenants.push_back(std::move(read));
   }
 
   // ---- routes
+  // A key of a route: the function that reads it, whether it may occur several times, and its number of
+  // arguments.
   struct RouteKey {
     const char* word;
     void (Reader::*read)(const Item&, const std::vector<Argument>&, const std::string&, Route&);
-    bool often = false;
-    std::size_t least = 1, most = 1;
+    bool repeatable = false;
+    std::size_t min_arguments = 1, max_arguments = 1;
     const char* example;
   };
-  void route(const Item& item) {
-    static constexpr std::size_t kAny = 100000;
+  void read_route(const Item& item) {
+    static constexpr std::size_t kUnlimited = 100000;
     static const std::vector<RouteKey> kKeys = {
-        {"on", &Reader::route_on, false, 1, kAny, "on main, second"},
-        {"host", &Reader::route_host, false, 1, kAny, "host www.example.org, *.example.org"},
+        {"on", &Reader::route_on, false, 1, kUnlimited, "on main, second"},
+        {"host", &Reader::route_host, false, 1, kUnlimited, "host www.example.org, *.example.org"},
         {"path", &Reader::route_path, false, 1, 1, "path /status"},
         {"exact", &Reader::route_path, false, 1, 1, "exact /status"},
-        {"method", &Reader::route_method, false, 1, kAny, "method GET, POST"},
+        {"method", &Reader::route_method, false, 1, kUnlimited, "method GET, POST"},
         {"header", &Reader::route_header, true, 2, 3, "header X-Canary is yes"},
         {"rewrite", &Reader::route_rewrite, false, 1, 1, "rewrite /v2"},
         {"as", &Reader::route_as, false, 1, 1, "as status"},
-        {"to", &Reader::route_to, false, 1, kAny, "to status 90%, canary 10%"},
+        {"to", &Reader::route_to, false, 1, kUnlimited, "to status 90%, canary 10%"},
         {"answer", &Reader::route_answer, false, 1, 2, "answer 404 \"no such page\""},
         {"location", &Reader::route_location, false, 1, 1, "location \"https://example.org/\""},
     };
-    auto name = open(item, "route status {");
+    auto name = read_name(item, "route status {");
     Route read;
     read.name = name.value_or("");
-    std::string of = opened(item, read.name);
+    std::string subject = begin_section(item, read.name);
     std::map<std::string_view, SourceLocation> seen;
     for (const Item& one : item.block) {
       if (one.is_malformed) {
-        spoil(of);
+        mark_incomplete(subject);
         continue;
       }
       auto key =
@@ -506,34 +538,35 @@
       if (key == kKeys.end()) {
         std::vector<std::string> words;
         for (const RouteKey& it : kKeys) words.emplace_back(it.word);
-        spoil(of);
-        unknown(one, "a `route`", words);
+        mark_incomplete(subject);
+        report_unknown(one, "a `route`", words);
         continue;
       }
-      std::size_t said = diagnostics().count();
+      std::size_t errors_before = diagnostics().count();
       std::vector<Argument> arguments = resolved(one);
-      if (!key->often && !once(one, seen)) {
+      if (!key->repeatable && !check_single(one, seen)) {
       } else if (one.has_block) {
-        diagnostics().add(one.location, ticked(one.word) + " has no block");
-      } else if (arguments.size() < key->least && diagnostics().count() == said) {
-        diagnostics().add(one.location, ticked(one.word) + " is written as in: " + key->example);
-      } else if (arguments.size() > key->most) {
-        diagnostics().add(arguments[key->most].location,
+        diagnostics().add(one.location, in_backticks(one.word) + " has no block");
+      } else if (arguments.size() < key->min_arguments && diagnostics().count() == errors_before) {
+        diagnostics().add(one.location, in_backticks(one.word) + " is written as in: " + key->example);
+      } else if (arguments.size() > key->max_arguments) {
+        diagnostics().add(arguments[key->max_arguments].location,
                           "nothing more belongs here: " + std::string(key->example));
-      } else if (diagnostics().count() == said) {
-        note(of + "/" + key->word, arguments[0].location);
-        (this->*key->read)(one, arguments, of, read);
+      } else if (diagnostics().count() == errors_before) {
+        set_location(subject + "/" + key->word, arguments[0].location);
+        (this->*key->read)(one, arguments, subject, read);
       }
-      if (diagnostics().count() != said) spoil(of);
+      if (diagnostics().count() != errors_before) mark_incomplete(subject);
     }
     if (seen.contains("path") && seen.contains("exact")) {
       diagnostics().add(seen.at("exact"), "a `path` and an `exact`: one of them has to go");
-      spoil(of);
+      mark_incomplete(subject);
     }
-    if (name) made().routes.push_back(std::move(read));
+    if (name) site().routes.push_back(std::move(read));
   }
-  // A list's items stand between commas; two without one are said once.
-  bool listed(const std::vector<Argument>& arguments) {
+  // Reports a missing comma between the items of a list, the first one only, and repeated items. Returns
+  // whether all commas are present.
+  bool check_list(const std::vector<Argument>& arguments) {
     for (std::size_t i = 1; i < arguments.size(); ++i) {
       if (arguments[i].after_comma) continue;
       diagnostics().add(arguments[i].location, "a comma is missing before this",
@@ -543,19 +576,20 @@
     std::set<std::string_view> all;
     for (const Argument& argument : arguments) {
       if (!all.insert(argument.raw).second)
-        diagnostics().add(argument.location, ticked(argument.raw) + " twice");
+        diagnostics().add(argument.location, in_backticks(argument.raw) + " twice");
     }
     return true;
   }
-  void route_on(const Item&, const std::vector<Argument>& arguments, const std::string& of, Route& route) {
-    if (!listed(arguments)) return;
+  void route_on(const Item&, const std::vector<Argument>& arguments, const std::string& subject,
+                Route& route) {
+    if (!check_list(arguments)) return;
     for (const Argument& one : arguments) {
       route.listeners.push_back(unquote(one.raw));
-      note(of + "/on " + route.listeners.back(), one.location);
+      set_location(subject + "/on " + route.listeners.back(), one.location);
     }
   }
   void route_host(const Item&, const std::vector<Argument>& arguments, const std::string&, Route& route) {
-    if (!listed(arguments)) return;
+    if (!check_list(arguments)) return;
     for (const Argument& one : arguments) {
       std::string host = to_lower(unquote(one.raw));
       std::string wrong = host_error(host);
@@ -573,41 +607,42 @@
     route.path = std::move(path);
   }
   void route_method(const Item&, const std::vector<Argument>& arguments, const std::string&, Route& route) {
-    if (!listed(arguments)) return;
+    if (!check_list(arguments)) return;
     for (const Argument& one : arguments) {
       std::string method = unquote(one.raw), upper = method;
       for (char& c : upper) c = c >= 'a' && c <= 'z' ? char(c - 32) : c;
       if (!is_token(method))
-        diagnostics().add(one.location, ticked(one.raw) + " is no method, as GET or POST");
+        diagnostics().add(one.location, in_backticks(one.raw) + " is no method, as GET or POST");
       else if (upper != method)
         diagnostics().add(one.location, "methods are written in capitals", "write " + upper);
       else if (method == "CONNECT") diagnostics().add(one.location, "CONNECT is not served");
       else route.methods.push_back(std::move(method));
     }
   }
-  void route_header(const Item&, const std::vector<Argument>& arguments, const std::string& of,
+  void route_header(const Item&, const std::vector<Argument>& arguments, const std::string& subject,
                     Route& route) {
     static const std::vector<std::string> kTests{"is", "is-not", "starts", "present", "absent"};
     Condition condition;
     condition.header = unquote(arguments[0].raw);
-    note(of + "/header " + std::to_string(route.conditions.size()), arguments[0].location);
+    set_location(subject + "/header " + std::to_string(route.conditions.size()), arguments[0].location);
     if (!is_token(condition.header))
-      return diagnostics().add(arguments[0].location, ticked(arguments[0].raw) + " is no name of a header");
+      return diagnostics().add(arguments[0].location,
+                               in_backticks(arguments[0].raw) + " is no name of a header");
     auto test = std::find(kTests.begin(), kTests.end(), arguments[1].raw);
     if (test == kTests.end()) {
-      std::string meant = closest_name(std::string(arguments[1].raw), kTests);
+      std::string suggestion = closest_name(std::string(arguments[1].raw), kTests);
       return diagnostics().add(
           arguments[1].location,
-          ticked(arguments[1].raw) + " is no test of a header: is, is-not, starts, present or absent",
-          meant.empty() ? "" : "did you mean `" + meant + "`?");
+          in_backticks(arguments[1].raw) + " is no test of a header: is, is-not, starts, present or absent",
+          suggestion.empty() ? "" : "did you mean `" + suggestion + "`?");
     }
     condition.test = Condition::Test(test - kTests.begin());
-    bool takes = condition.test < Condition::Test::Present;
-    if (takes && arguments.size() < 3)
-      return diagnostics().add(arguments[1].location, ticked(arguments[1].raw) + " needs a value");
-    if (!takes && arguments.size() > 2)
-      return diagnostics().add(arguments[2].location, ticked(arguments[1].raw) + " takes no value");
-    if (takes) condition.value = unquote(arguments[2].raw);
+    bool takes_value = condition.test < Condition::Test::Present;
+    if (takes_value && arguments.size() < 3)
+      return diagnostics().add(arguments[1].location, in_backticks(arguments[1].raw) + " needs a value");
+    if (!takes_value && arguments.size() > 2)
+      return diagnostics().add(arguments[2].location, in_backticks(arguments[1].raw) + " takes no value");
+    if (takes_value) condition.value = unquote(arguments[2].raw);
     if (condition.test == Condition::Test::Starts && condition.value.empty())
       return diagnostics().add(arguments[2].location, "every value starts with nothing", "write present");
     route.conditions.push_back(std::move(condition));
@@ -620,8 +655,9 @@
   void route_as(const Item&, const std::vector<Argument>& arguments, const std::string&, Route& route) {
     route.request_class = unquote(arguments[0].raw);
   }
-  void route_to(const Item&, const std::vector<Argument>& arguments, const std::string& of, Route& route) {
-    std::size_t unnumbered = 0;
+  void route_to(const Item&, const std::vector<Argument>& arguments, const std::string& subject,
+                Route& route) {
+    std::size_t without_share = 0;
     for (std::size_t i = 0; i < arguments.size();) {
       const Argument& pool = arguments[i++];
       Target target{unquote(pool.raw), 1};
@@ -631,16 +667,16 @@
         target.share = share.number;
         ++i;
       } else {
-        ++unnumbered;
+        ++without_share;
       }
       if (i < arguments.size() && !arguments[i].after_comma)
         return diagnostics().add(arguments[i].location, "a comma is missing before this");
-      std::string its = of + "/to " + target.pool;
-      if (locations_.contains(its)) note(its + "#2", pool.location);
-      note(its, pool.location);
+      std::string target_subject = subject + "/to " + target.pool;
+      if (locations_.contains(target_subject)) set_location(target_subject + "#2", pool.location);
+      set_location(target_subject, pool.location);
       route.targets.push_back(std::move(target));
     }
-    if (unnumbered > 0 && route.targets.size() > 1)
+    if (without_share > 0 && route.targets.size() > 1)
       diagnostics().add(arguments[0].location,
                         "several pools need a share each, as in: to status 90%, canary 10%");
   }
@@ -651,44 +687,44 @@
     if (arguments.size() < 2) return;
     if (!arguments[1].quoted)
       return diagnostics().add(arguments[1].location, "the text of an answer stands in quotes",
-                               "write " + quoted(arguments[1].raw));
+                               "write " + quote(arguments[1].raw));
     route.answer.text = unquote(arguments[1].raw);
   }
   void route_location(const Item&, const std::vector<Argument>& arguments, const std::string&, Route& route) {
     std::string location = unquote(arguments[0].raw);
-    bool plain = !location.empty() && std::all_of(location.begin(), location.end(), [](char c) {
+    bool is_valid = !location.empty() && std::all_of(location.begin(), location.end(), [](char c) {
       return static_cast<unsigned char>(c) > 0x20 && static_cast<unsigned char>(c) < 0x7f;
     });
-    if (!plain)
+    if (!is_valid)
       return diagnostics().add(arguments[0].location, "a location has no blanks and no letters but ASCII");
     route.answer.location = std::move(location);
   }
-  // Where a route doesn't say whose kind and times its requests have: the prefix that its path begins with,
-  // or the only one.
-  void default_prefixes() {
+  // The request class of a route that names none: the one that is named like the first segment of the path,
+  // or the only one of the site.
+  void set_default_request_classes() {
     std::set<std::string> names;
-    for (const RequestClass& one : made().request_classes) names.insert(one.name);
-    for (Route& route : made().routes) {
+    for (const RequestClass& one : site().request_classes) names.insert(one.name);
+    for (Route& route : site().routes) {
       if (!route.request_class.empty() || route.targets.empty()) continue;
-      std::string first = route.path.substr(std::min<std::size_t>(1, route.path.size()));
-      first.resize(std::min(first.size(), first.find('/')));
-      if (names.contains(first)) route.request_class = first;
+      std::string first_segment = route.path.substr(std::min<std::size_t>(1, route.path.size()));
+      first_segment.resize(std::min(first_segment.size(), first_segment.find('/')));
+      if (names.contains(first_segment)) route.request_class = first_segment;
       else if (names.size() == 1) route.request_class = *names.begin();
     }
   }
 
   ReadResult& result_;
   FileSource& files_;
-  std::string folder_;
-  std::map<std::string, int> loaded_;
-  std::vector<std::string> chain_;
+  std::string site_folder_;
+  std::map<std::string, int> loaded_;       // file numbers by canonical path
+  std::vector<std::string> include_chain_;  // canonical paths of the files being loaded
   std::deque<Tree> trees_;
-  std::vector<const Item*> items_;
-  std::map<std::string, const Item*> defined_;
-  std::unordered_map<std::string, SourceLocation> locations_;
-  std::set<std::string> spoilt_;
-  std::size_t bytes_ = 0, room_ = kMaxTreeElements;
-  bool named_ = false, limited_ = false;
+  std::vector<const Item*> items_;              // the top-level items of all files, in the order of inclusion
+  std::map<std::string, const Item*> defined_;  // the `define` items by name
+  std::unordered_map<std::string, SourceLocation> locations_;  // by subject
+  std::set<std::string> incomplete_;  // subjects of sections with errors, or "site" for the whole
+  std::size_t bytes_ = 0, remaining_elements_ = kMaxTreeElements;
+  bool has_name_ = false, has_limits_ = false;
 };
 
 }  // namespace
--- a/src/config/language/read.h
+++ b/src/config/language/read.h
@@ -1,4 +1,4 @@
-// From the files of a site to its model, with all that is wrong on the way.
+// Reads a site from its files into the site model and collects the diagnostics.
 #pragma once
 
 #include <optional>
@@ -9,18 +9,18 @@
 
 namespace puffinvane::language {
 
-// Where files come from: the disk, or a test's memory.
+// Where files are read from: the disk, or memory in tests.
 class FileSource {
  public:
   virtual ~FileSource() = default;
-  virtual std::optional<std::string> read(const std::string& path) = 0;
-  virtual std::string canonical_path(
-      const std::string& path) = 0;  // without links and dots, to tell where it lies
+  virtual std::optional<std::string> read(const std::string& path) = 0;  // empty: can't be read
+  // Without symbolic links, `.` and `..`, to check that a file lies inside the folder of the site.
+  virtual std::string canonical_path(const std::string& path) = 0;
 };
 
 class DiskFileSource final : public FileSource {
  public:
-  static constexpr std::size_t kMost = std::size_t{64} << 20;  // bytes of one file; a longer one isn't read
+  static constexpr std::size_t kMaxFileBytes = std::size_t{64} << 20;  // longer files aren't read
   std::optional<std::string> read(const std::string& path) override;
   std::string canonical_path(const std::string& path) override;
 };
@@ -28,8 +28,8 @@
 struct ReadResult {
   Sources sources;
   Diagnostics diagnostics;
-  site::Site site;    // worth something only where there are no diagnostics
-  bool found = true;  // the file itself
+  site::Site site;    // valid only if there are no diagnostics
+  bool found = true;  // whether the main file could be read
 };
 
 ReadResult read_site(const std::string& path, FileSource& files);
--- a/src/config/language/tree.h
+++ b/src/config/language/tree.h
@@ -1,4 +1,4 @@
-// The syntax of a site file as a tree that keeps its comments, and the way back to text.
+// The syntax tree of a site file, which includes its comments, and its conversion back to text.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 namespace puffinvane::language {
 
 struct Comment {
-  std::string_view text;  // with its `#`
-  bool blank_before = false;
+  std::string_view text;  // including the `#`
+  bool blank_line_before = false;
 };
 
 struct Argument {
@@ -27,27 +27,30 @@
   std::vector<Argument> arguments;
   bool has_block = false;
   std::vector<Item> block;
-  std::vector<Comment> before;       // on lines of their own above it
-  std::string_view after_open = {};  // behind its `{`
-  std::string_view after = {};       // behind all of it
-  std::vector<Comment> at_close;     // above its `}`
-  bool blank_before = false;
-  bool is_malformed = false;  // the parser has said something of it: what it lacks may only be lost
+  std::vector<Comment> comments_before;      // on lines of their own
+  std::string_view comment_after_open = {};  // on the line of its `{`
+  std::string_view trailing_comment = {};    // on its last line
+  std::vector<Comment> comments_at_end;      // on lines of their own before its `}`
+  bool blank_line_before = false;
+  // The parser reported an error in this item: arguments or contents may be missing from it.
+  bool is_malformed = false;
 };
 
 struct Tree {
   std::vector<Item> items;
-  std::vector<Comment> at_end;
+  std::vector<Comment> comments_at_end;
 };
 
-// Words and arguments that all files of a site may have together: a tree takes some hundred bytes for each.
+// The limit of words, texts and comments in all files of a site together. Each takes some hundred bytes in a
+// tree.
 constexpr std::size_t kMaxTreeElements = 8'000'000;
-// Goes on after an error and says all that it finds. The tree points into the text. room: what is left of
-// kMaxTreeElements.
-Tree parse(int file, std::string_view text, Diagnostics& diagnostics, std::size_t& room);
+// Continues after an error, so that all errors are reported. The tree refers to the text, which has to
+// outlive it. remaining_elements: what is left of kMaxTreeElements.
+Tree parse(int file, std::string_view text, Diagnostics& diagnostics, std::size_t& remaining_elements);
 Tree parse(int file, std::string_view text, Diagnostics& diagnostics);
-// In the one layout that there is. Doing it twice changes nothing.
+// The text in the standard layout. Formatting the result again doesn't change it.
 std::string format(const Tree& tree);
-bool is_equivalent(const Tree& one, const Tree& other);  // words, arguments and blocks; no comments
+// Whether words, arguments and blocks are equal. Ignores comments and layout.
+bool is_equivalent(const Tree& one, const Tree& other);
 
 }  // namespace puffinvane::language
