--- a/src/discovery/discovery_watch_timeouts_test.cpp
+++ b/src/discovery/discovery_watch_timeouts_test.cpp
@@ -1,4 +1,4 @@
-// How long the watch waits for a discovery that is silent, slow or can't be connected to.
+// How long the watch waits for a discovery service that is silent, slow or can't be connected to.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -12,20 +12,21 @@
 
 using namespace test;
 
-// After discovery had a change and could be reached.
+// From when discovery has a change and can be reached until the change is received.
 constexpr double kMaxChangeDelaySeconds = 6;
 
-// Sends a list in 12 pieces, one each 0.1 s, and leaves the call open for 0.3 s.
-void send_slowly(Line& call, const std::string& list) {
+// Sends a list in 12 pieces, one every 0.1 s, and keeps the call open for 0.3 s after the last one.
+void send_slowly(TestConnection& call, const std::string& list) {
   std::size_t piece_size = list.size() / 12 + 1;
   for (std::size_t begin = 0; begin < list.size(); begin += piece_size) {
-    call.say(chunk(list.substr(begin, piece_size)));
-    if (call.ended(0.1)) return;
+    call.send_text(http_chunk(list.substr(begin, piece_size)));
+    if (call.ends_within(0.1)) return;
   }
-  call.ended(0.3);
+  call.ends_within(0.3);
 }
 
-// The list takes longer than a list usually may: cut at each timeout, it would never be received.
+// The list takes longer than the initial timeout. Without a longer timeout for the next call it would be cut
+// off each time and never be received.
 TEST(DiscoveryWatchTimeouts, ReceivesAListThatArrivesSlowly) {
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -33,10 +34,10 @@
   std::atomic<bool> is_over = false;
   std::thread answers([&] {
     while (!is_over) {
-      if (!discovery.connection_waits(0.1)) continue;
-      Line call = discovery.take();
-      if (!call.hear(HttpReader::Side::Request)) continue;  // the test was over by then
-      call.say(kResponseHead);
+      if (!discovery.has_connection_within(0.1)) continue;
+      TestConnection call = discovery.accept_connection();
+      if (!call.receive_message(HttpReader::Side::Request)) continue;  // the test has ended meanwhile
+      call.send_text(kResponseHead);
       send_slowly(call, snapshot_line(1));
     }
   });
@@ -48,7 +49,8 @@
   EXPECT_TRUE(is_received);
 }
 
-// A silent agent sends what it has the moment it can, and that counts as received by whoever is connected.
+// An agent that was unresponsive sends its changes to the calls that are open when it recovers, and considers
+// them delivered. A backoff could make the watch miss them.
 TEST(DiscoveryWatchTimeouts, OpensTheNextCallAtOnceAfterASilentOneInPushedMode) {
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -58,10 +60,10 @@
 
   events.run_beside(
       [&] {
-        Line silent = take_call(discovery);
-        has_ended = silent.ended(2);
-        is_next_waiting = has_ended && discovery.connection_waits(0.1);
-        take_call(discovery).say(kResponseHead + chunk(snapshot_line(1)));
+        TestConnection silent = take_call(discovery);
+        has_ended = silent.ends_within(2);
+        is_next_waiting = has_ended && discovery.has_connection_within(0.1);
+        take_call(discovery).send_text(kResponseHead + http_chunk(snapshot_line(1)));
       },
       2.5);
 
@@ -70,7 +72,7 @@
   EXPECT_FALSE(owner.received_at_s().empty());
 }
 
-TEST(DiscoveryWatchTimeouts, TakesBlankLinesForNoAnswerToACallForTheFullList) {
+TEST(DiscoveryWatchTimeouts, DoesNotAcceptBlankLinesAsAnswerToACallForTheFullList) {
   Listener discovery(kDiscoveryHost);
   EventLoop events;
   WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::OnRequest);
@@ -78,12 +80,13 @@
 
   events.run_beside(
       [&] {
-        Line watch = take_call(discovery);
-        watch.say(kResponseHead);
-        for (int i = 0; i < 30 && !discovery.connection_waits(0.1); ++i) watch.say(chunk("\n"));
-        Line next = take_call(discovery);
-        next.say(kResponseHead + chunk(snapshot_line(1)));
-        next.ended(0.2);
+        TestConnection watch = take_call(discovery);
+        watch.send_text(kResponseHead);
+        for (int i = 0; i < 30 && !discovery.has_connection_within(0.1); ++i)
+          watch.send_text(http_chunk("\n"));
+        TestConnection next = take_call(discovery);
+        next.send_text(kResponseHead + http_chunk(snapshot_line(1)));
+        next.ends_within(0.2);
       },
       3.5);
 
@@ -91,7 +94,8 @@
   EXPECT_LT(owner.received_at_s().front(), started_at + 3.3);
 }
 
-// On request: the watch falls silent, the next connection never comes up, and the call after that is silent.
+// On request: the watch falls silent, the next connection is never established, and the call after it is
+// silent.
 TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterASilentWatchALostConnectionAndASilentCall) {
   Listener discovery(kDiscoveryHost, 0);
   EventLoop events;
@@ -101,13 +105,13 @@
 
   events.run_beside(
       [&] {
-        Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+        TestConnection watch = answer_call(discovery, "0", http_chunk(snapshot_line(1)));
         silent_since = now();
         is_watch_ended = refuse_connection_after(discovery, watch, 4);
-        EXPECT_TRUE(take_call(discovery).ended(3));
-        Line last = take_call(discovery);
-        last.say(kResponseHead + chunk(snapshot_line(2)));
-        last.ended(0.2);
+        EXPECT_TRUE(take_call(discovery).ends_within(3));
+        TestConnection last = take_call(discovery);
+        last.send_text(kResponseHead + http_chunk(snapshot_line(2)));
+        last.ends_within(0.2);
       },
       7.5);
 
@@ -116,11 +120,11 @@
   EXPECT_LT(owner.received_at_s().back(), silent_since + kMaxChangeDelaySeconds);
 }
 
-// On request, after a move: the call waits for its turn for nearly as long as it may, and its list comes in
-// pieces. Given up amid the list, the next call would have to wait for its turn again.
-TEST(DiscoveryWatchTimeouts, ReceivesAListThatArrivesAfterALateTurnInTimeAfterAMove) {
+// On request, after discovery has moved: the call is queued for nearly the maximum time, and then its list
+// arrives in pieces. If the call timed out in the middle of the list, the next one would be queued again.
+TEST(DiscoveryWatchTimeouts, ReceivesAListInPiecesAfterALongQueueInTimeAfterAMove) {
   constexpr double kMaxDelayAfterMoveSeconds = 4;
-  constexpr double kTurnSeconds = 1.95;
+  constexpr double kQueueSeconds = 1.95;
   constexpr int kPieces = 5;
   Listener discovery(kDiscoveryHost);
   EventLoop events;
@@ -129,17 +133,17 @@
 
   events.run_beside(
       [&] {
-        Line call = take_call(discovery);
-        call.ended(kTurnSeconds);
-        call.say(kResponseHead);
+        TestConnection call = take_call(discovery);
+        call.ends_within(kQueueSeconds);
+        call.send_text(kResponseHead);
         const std::string list = snapshot_line(1);
         const std::size_t piece_size = list.size() / kPieces + 1;
         for (std::size_t begin = 0; begin < list.size(); begin += piece_size) {
-          call.say(chunk(list.substr(begin, piece_size)));
-          call.ended(0.12);
+          call.send_text(http_chunk(list.substr(begin, piece_size)));
+          call.ends_within(0.12);
         }
-        call.ended(1);
-        EXPECT_FALSE(discovery.connection_waits(0));
+        call.ends_within(1);
+        EXPECT_FALSE(discovery.has_connection_within(0));
       },
       4);
 
@@ -147,22 +151,22 @@
   EXPECT_LT(owner.received_at_s().front(), moved_at + kMaxDelayAfterMoveSeconds);
 }
 
-// Pushed mode: a watch that goes on without its lists, a connection that never comes up, a call of which only
-// the head comes, another connection that never comes up, and a silent call.
-TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterACallOfWhichOnlyTheHeadCame) {
+// Pushed mode: a watch that no longer sends lists, a connection that is never established, a call that gets
+// only the response head, another connection that is never established, and a silent call.
+TEST(DiscoveryWatchTimeouts, ReceivesAChangeInTimeAfterACallWithOnlyAResponseHead) {
   Listener discovery(kDiscoveryHost, 0);
   EventLoop events;
   WatchOwner owner(events.loop(), discovery.address, 3, DiscoveryMode::Pushed);
   double changed_at = 0;
 
   events.run_during([&] {
-    Line watch = answer_call(discovery, "0", chunk(snapshot_line(1)));
+    TestConnection watch = answer_call(discovery, "0", http_chunk(snapshot_line(1)));
     changed_at = now();
     EXPECT_TRUE(refuse_connection_after(discovery, watch));
-    Line head_only = answer_call(discovery, "1", "");
+    TestConnection head_only = answer_call(discovery, "1", "");
     EXPECT_TRUE(refuse_connection_after(discovery, head_only));
-    EXPECT_TRUE(take_call(discovery).ended());
-    answer_call(discovery, "0", chunk(snapshot_line(2))).ended(0.2);
+    EXPECT_TRUE(take_call(discovery).ends_within());
+    answer_call(discovery, "0", http_chunk(snapshot_line(2))).ends_within(0.2);
   });
 
   ASSERT_EQ(owner.received_at_s().size(), 2u);
--- a/src/server/server.h
+++ b/src/server/server.h
@@ -35,7 +35,7 @@
     EndpointList known() const;  // the whole list, from all updates of discovery
     site::Pool pool;
     std::unique_ptr<RequestForwarder> forwarder;
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     std::unique_ptr<DiscoveryWatch> watch;
     std::map<std::string, std::pair<ListEntry, std::string>> listed;  // by discovery: entry and address
     std::map<std::string, double> since;  // when each static endpoint was added; 0: together with the pool
--- a/src/server/sidecar_config.cpp
+++ b/src/server/sidecar_config.cpp
@@ -88,7 +88,7 @@
   }
   element fleet;
   if (!config["fleet"].get(fleet)) read.fleet = read_place(fleet, read);
-  if (!config["known"].get(known)) read.known = read_endpoint_list(known);
+  if (!config["known"].get(known)) read.known = parse_endpoint_list_or_throw(known);
   if (!config["limits"].get(limits)) {
     double number = 0;
     if (!limits["sockets"].get(number) && number > 0) read.descriptors = int(number);
