--- a/src/config/language/diagnostics.h
+++ b/src/config/language/diagnostics.h
@@ -29,7 +29,7 @@
   int add(std::string path, std::string text);
   std::string_view text(int file) const { return files_[std::size_t(file)].text; }
   const std::string& path(int file) const { return files_[std::size_t(file)].path; }
-  std::string_view line(int file, std::uint32_t line) const;
+  std::string_view line(int file, std::uint32_t line) const;  // without its line break
 
  private:
   struct File {
--- a/src/config/language/language_test.cpp
+++ b/src/config/language/language_test.cpp
@@ -58,8 +58,8 @@
 }
 
 void a_fix_is_offered_only_if_it_is_plausible() {
-  auto fix = [](ValueType type, const char* raw, double least, double most) {
-    return read_value(type, raw, false, least, most).fix;
+  auto fix = [](ValueType type, const char* raw, double min, double max) {
+    return read_value(type, raw, false, min, max).fix;
   };
   assert(fix(ValueType::Time, "750", 1e-3, 60) == "write 750ms");    // 750 s is out of bounds
   assert(fix(ValueType::Time, "5", 1e-3, 60) == "write 5ms or 5s");  // either may be meant
--- a/src/config/language/lexer.cpp
+++ b/src/config/language/lexer.cpp
@@ -23,7 +23,8 @@
 bool is_control(char c) {
   return (static_cast<unsigned char>(c) < 0x20 && c != '\t' && c != '\n') || c == 0x7f;
 }
-// In the middle of a file it is invisible, and if formatting moved it to the front, it would be dropped.
+// Rejected except at the start of a file: it is invisible, and if formatting moved it to the start, it would
+// be lost.
 constexpr std::string_view kByteOrderMark = "\xef\xbb\xbf";
 
 bool is_blank(char c) { return c == ' ' || c == '\t'; }
