--- a/src/config/site/properties.cpp
+++ b/src/config/site/properties.cpp
@@ -24,7 +24,10 @@
 std::string size(std::size_t value) {
   constexpr std::array<const char*, 4> kUnits{"B", "KiB", "MiB", "GiB"};
   std::size_t unit = 0;
-  while (unit + 1 < kUnits.size() && value >= 1024 && value % 1024 == 0) value /= 1024, ++unit;
+  while (unit + 1 < kUnits.size() && value >= 1024 && value % 1024 == 0) {
+    value /= 1024;
+    ++unit;
+  }
   return std::to_string(value) + kUnits[unit];
 }
 std::string quoted(const std::string& value) { return '"' + value + '"'; }
@@ -43,7 +46,7 @@
   return condition.value.empty() ? result : result + " " + quoted(condition.value);
 }
 
-// Sorted, as the order in a site file has no meaning.
+// Joins the words in sorted order, as their order in a site file has no meaning.
 std::string list(std::vector<std::string> words) {
   std::sort(words.begin(), words.end());
   std::string joined;
@@ -61,10 +64,10 @@
     add("limits/instances", std::to_string(site.limits.instances));
     if (site.limits.requests > 0) add("limits/visits", decimal(site.limits.requests) + "/s");
     for (const Listener& one : site.listeners) add("listener " + one.name + "/address", one.address);
-    for (const Pool& one : site.pools) pool(one);
-    for (const RequestClass& one : site.request_classes) request_class(one);
-    for (const Tenant& one : site.tenants) tenant(one);
-    for (const Route& one : site.routes) route(one);
+    for (const Pool& one : site.pools) add_pool(one);
+    for (const RequestClass& one : site.request_classes) add_request_class(one);
+    for (const Tenant& one : site.tenants) add_tenant(one);
+    for (const Route& one : site.routes) add_route(one);
     add_route_order();
     std::sort(properties_.begin(), properties_.end(), [](const Property& a, const Property& b) {
       return a.subject != b.subject ? a.subject < b.subject : a.value < b.value;
@@ -76,7 +79,7 @@
   void add(std::string subject, std::string value) {
     properties_.push_back({std::move(subject), std::move(value)});
   }
-  void pool(const Pool& pool) {
+  void add_pool(const Pool& pool) {
     std::string subject = "pool " + pool.name;
     add(subject, "");
     for (const Endpoint& endpoint : pool.endpoints) {
@@ -97,7 +100,7 @@
     add(subject + "/cold-share", share(pool.slow_start_share));
     add(subject + "/warm-after", seconds(pool.warm_after));
   }
-  void request_class(const RequestClass& request_class) {
+  void add_request_class(const RequestClass& request_class) {
     std::string subject = "prefix " + request_class.name;
     add(subject + "/kind", name_of(request_class.idempotency));
     if (request_class.idempotency == Idempotency::Keyed) {
@@ -108,13 +111,13 @@
     add(subject + "/client-timeout", seconds(request_class.client_timeout_s));
     add(subject + "/credit", decimal(request_class.priority_weight));
   }
-  void tenant(const Tenant& tenant) {
+  void add_tenant(const Tenant& tenant) {
     std::string subject = "customer " + tenant.name;
     add(subject, "");
     if (tenant.share) add(subject + "/share", share(*tenant.share));
     if (tenant.quota) add(subject + "/quota", decimal(*tenant.quota) + "/s");
   }
-  void route(const Route& route) {
+  void add_route(const Route& route) {
     std::string subject = "route " + route.name;
     add(subject, "");
     if (!route.listeners.empty()) add(subject + "/on", list(route.listeners));
@@ -142,8 +145,8 @@
     }
     for (const auto& [key, routes] : by_precedence) {
       for (std::size_t i = 1; i < routes.size(); ++i) {
-        // Compared with the last kMaxCompared routes only: to swap two routes that are further apart, one has
-        // to pass those between them, which is a difference too.
+        // Only the last kMaxCompared routes are considered: a route that moves past one further away also
+        // moves past those between them, which is a difference already.
         for (std::size_t j = i > kMaxCompared ? i - kMaxCompared : 0; j < i; ++j) {
           if (can_overlap(*routes[j], *routes[i]))
             add("route " + routes[i]->name + "/after", routes[j]->name);
--- a/src/fleet/transport/transport.cpp
+++ b/src/fleet/transport/transport.cpp
@@ -163,7 +163,8 @@
   Ref<GSocketAddress> source(raw_source);
   Error error(raw);
   if (size < 0) {
-    // For example out of memory: the socket would be reported as readable again at once.
+    // After an error such as a lack of memory the socket is reported as readable again at once: pause, so
+    // that the loop doesn't spin.
     if (error && !g_error_matches(raw, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) pause();
     return false;
   }
@@ -215,8 +216,8 @@
   const PeerSession* key = session.get();
   ++(session->initiates ? initiated_sessions_ : accepted_sessions_);
   sessions_.emplace(key, std::move(session));
-  // If this session has ended, a later one may have been allocated at the same address. Then that one is
-  // ended, early but otherwise correctly.
+  // The pointer may have been reused: if this session has ended, a later one may be at its address. Then the
+  // later one is ended before its own timeout, which costs one exchange of states.
   loop_.at(loop_.now() + kSessionTimeout, alive_.guard([this, key] {
     if (sessions_.contains(key)) end_session(*key);
   }));
