--- a/src/discovery/endpoint_starts_clock_test.cpp
+++ b/src/discovery/endpoint_start_times_clock_test.cpp
@@ -1,7 +1,7 @@
-// Start times by a wall clock that is wrong or is stepped. Times are the monotonic clock's.
+// Start times if the wall clock is wrong or is stepped. All times are monotonic.
 #include <gtest/gtest.h>
 
-#include "src/discovery/endpoint_starts.h"
+#include "src/discovery/endpoint_start_times.h"
 #include "testing/start_times.h"
 
 namespace puffinvane {
@@ -9,12 +9,12 @@
 
 using namespace test;
 
-TEST(EndpointStartsClock, PutsANewStartBetweenTheListsThatShowIt) {
+TEST(EndpointStartTimesClock, PutsANewStartBetweenTheListsWithoutAndWithIt) {
   for (double error : kWallClockErrors) {
     for (const char* name : {"a", "new"}) {  // started again, or listed for the first time
       SCOPED_TRACE(error);
       SCOPED_TRACE(name);
-      EndpointStarts starts;
+      EndpointStartTimes starts;
       first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, error);
       starts.on_unchanged(102);
 
@@ -26,10 +26,10 @@
   }
 }
 
-TEST(EndpointStartsClock, KeepsAStartThatIsStatedAgainAfterAStep) {
+TEST(EndpointStartTimesClock, KeepsAStartThatIsStatedAgainAfterAStep) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a")});
     EndpointBuilder started_again = endpoint("a").started_at(103);
 
@@ -38,14 +38,14 @@
     for (double received_at : {104.5, 106.0, 108.0}) {
       EXPECT_EQ(first_start_time(starts, received_at, {started_again}, step), started);
     }
-    EXPECT_EQ(first_start_time(starts, 110, {started_again}), started);  // the clock is stepped back
+    EXPECT_EQ(first_start_time(starts, 110, {started_again}), started);  // the step is undone
   }
 }
 
-TEST(EndpointStartsClock, KeepsAStartOfAnEndpointThatWasLeftOutForAWhile) {
+TEST(EndpointStartTimesClock, KeepsTheStartOfAnEndpointThatWasUnlistedForAWhile) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a")});
     double started = first_start_time(starts, 104, {endpoint("a").started_at(103)});
     for (double received_at : {104.5, 106.0, 108.0}) {
@@ -61,10 +61,10 @@
   }
 }
 
-// Without these messages a clock that is ahead by less than the quiet time would shorten each slow start by
-// as much.
-TEST(EndpointStartsClock, BoundsTheNextStartByMessagesThatNothingChanged) {
-  EndpointStarts starts;
+// Without these messages, a clock that is ahead by less than the idle time would make each new endpoint seem
+// older than it is and shorten its slow start by that error.
+TEST(EndpointStartTimesClock, BoundsTheNextStartByMessagesWithoutChanges) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 5);
   for (double received_at = 102; received_at <= 200; received_at += 2) starts.on_unchanged(received_at);
 
@@ -73,12 +73,12 @@
   EXPECT_GE(started, 200);
 }
 
-// The clock is stepped between two of discovery's messages: what it says of a start is not believed, also
-// where it happens to lie within the bounds.
-TEST(EndpointStartsClock, TakesTheLatestTimeAfterAStepDuringASilence) {
+// The clock is stepped between two of discovery's messages, so the stated time isn't trusted, even if it
+// happens to be within the bounds.
+TEST(EndpointStartTimesClock, UsesTheLatestPossibleTimeAfterAClockStepDuringASilence) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
 
     double started = first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, step);
@@ -87,9 +87,9 @@
   }
 }
 
-// No step is seen: the clock is wrong from the start.
-TEST(EndpointStartsClock, TakesTheLatestTimeOfAStartThatIsStatedLongBeforeItsBounds) {
-  EndpointStarts starts;
+// The clock is wrong from the beginning, so no step is observed.
+TEST(EndpointStartTimesClock, UsesTheLatestPossibleTimeForAStartStatedLongBeforeItsBounds) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")}, 3600);
 
   double started = first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, 3600);
@@ -97,10 +97,10 @@
   EXPECT_EQ(started, 120);
 }
 
-TEST(EndpointStartsClock, TrustsTheClockAgainAfterAStartWithinNarrowBounds) {
+TEST(EndpointStartTimesClock, TrustsTheClockAgainAfterAStartWithinNarrowBounds) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
     first_start_time(starts, 120, {endpoint("a").started_at(118), endpoint("b")}, step);
 
@@ -116,9 +116,9 @@
   }
 }
 
-// The others are placed by their distance from the newest, which no clock changes.
-TEST(EndpointStartsClock, PutsTheNewestStartAtNowWhereTheClockIsBehind) {
-  EndpointStarts starts;
+// The other starts keep their intervals to the newest one, which don't depend on the clock.
+TEST(EndpointStartTimesClock, PutsTheNewestStartAtNowIfTheClockIsBehind) {
+  EndpointStartTimes starts;
 
   std::vector<double> started = start_times(
       starts,
@@ -131,11 +131,11 @@
   EXPECT_THAT(started[1], about(62));
 }
 
-TEST(EndpointStartsClock, PutsASingleStartInTheFutureAtNow) {
-  EndpointStarts starts;
+TEST(EndpointStartTimesClock, PutsASingleStartInTheFutureAtNow) {
+  EndpointStartTimes starts;
 
   std::vector<double> started =
-      start_times(starts, snapshot_at(100, {endpoint("spoilt").started_at(1e9), endpoint("a").started_at(40),
+      start_times(starts, snapshot_at(100, {endpoint("future").started_at(1e9), endpoint("a").started_at(40),
                                             endpoint("b").started_at(50)}));
 
   EXPECT_EQ(started[0], 100);
@@ -143,13 +143,13 @@
   EXPECT_THAT(started[2], about(50));
 }
 
-// The clock was wrong before the process started, and its first list has a start of a moment ago.
-TEST(EndpointStartsClock, TakesTheDateOfTheResponseWhereTheWallClockDisagrees) {
+// The clock was wrong before the process started, and the first list has a start of a moment ago.
+TEST(EndpointStartTimesClock, UsesTheDateOfTheResponseIfTheWallClockDisagrees) {
   for (double error : kWallClockErrors) {
     SCOPED_TRACE(error);
-    EndpointStarts starts;
+    EndpointStartTimes starts;
     ClockOffsets offsets = wall_clock_ahead_by(error);
-    offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;  // in whole seconds
+    offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;  // truncated to whole seconds
 
     std::vector<double> started =
         start_times(starts, snapshot_at(100, {endpoint("a"), endpoint("fresh").started_at(98)}), offsets);
@@ -159,9 +159,9 @@
   }
 }
 
-// The wall clock is the finer of the two.
-TEST(EndpointStartsClock, TakesTheWallClockWhereTheDateAgrees) {
-  EndpointStarts starts;
+// The wall clock is more precise than the date.
+TEST(EndpointStartTimesClock, UsesTheWallClockIfTheDateAgrees) {
+  EndpointStartTimes starts;
   ClockOffsets offsets = right_wall_clock();
   offsets.discovery_s = kStatedClockOffsetSeconds - 0.7;
 
@@ -171,9 +171,9 @@
   EXPECT_THAT(started.front(), about(98));
 }
 
-TEST(HttpDate, IsReadAsUnixTime) { EXPECT_EQ(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT"), 1.7e9); }
+TEST(HttpDate, IsParsedAsUnixTime) { EXPECT_EQ(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT"), 1.7e9); }
 
-TEST(HttpDate, IsNoneForOtherText) {
+TEST(HttpDate, IsRejectedIfInvalid) {
   EXPECT_FALSE(parse_http_date(""));
   EXPECT_FALSE(parse_http_date("yesterday"));
   EXPECT_FALSE(parse_http_date("Tue, 14 Nov 2023 22:13:20 GMT+1"));
--- a/src/discovery/endpoint_starts_test.cpp
+++ b/src/discovery/endpoint_start_times_test.cpp
@@ -1,6 +1,6 @@
-// Start times by a right wall clock: starts that are repeated, listed late or by another discovery, and what
-// a successor gets of them.
-#include "src/discovery/endpoint_starts.h"
+// Start times with a correct wall clock: starts that are repeated, listed late or listed by another discovery
+// service, and their export to a successor.
+#include "src/discovery/endpoint_start_times.h"
 
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 
 using namespace test;
 
-TEST(EndpointStarts, TakesStatedTimesWithARightClock) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, UsesStatedTimesIfTheClockIsCorrect) {
+  EndpointStartTimes starts;
 
   std::vector<double> started = start_times(
       starts,
@@ -25,8 +25,8 @@
   EXPECT_THAT(started[2], about(99));
 }
 
-TEST(EndpointStarts, TakesAStatedTimeWithinTheBoundsOfASilence) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, UsesAStatedTimeWithinTheBoundsOfASilence) {
+  EndpointStartTimes starts;
   start_times(starts, snapshot_at(100, {endpoint("old"), endpoint("warm").started_at(40),
                                         endpoint("fresh").started_at(99)}));
 
@@ -35,9 +35,10 @@
   EXPECT_THAT(started, about(107));
 }
 
-// Discovery lists a start late: the time of its last message without it is the earliest that no clock denies.
-TEST(EndpointStarts, PutsAStartListedLateAtItsEarlierBound) {
-  EndpointStarts starts;
+// Discovery lists a start late: its stated time is before discovery's last message without it, which is the
+// earliest possible time by the monotonic clock.
+TEST(EndpointStartTimes, PutsAStartThatIsListedLateAtItsEarliestPossibleTime) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a")});
 
   double started = first_start_time(starts, 101, {endpoint("a").started_at(99)});
@@ -45,8 +46,8 @@
   EXPECT_EQ(started, 100);
 }
 
-TEST(EndpointStarts, DoubtsNoClockForAStartListedLate) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, KeepsTrustingTheClockAfterAStartThatIsListedLate) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a")});
   first_start_time(starts, 101, {endpoint("a").started_at(99)});
 
@@ -55,10 +56,10 @@
   EXPECT_THAT(started, about(110));
 }
 
-// A process that starts with a right clock takes none of the endpoints of its first list for fresh that is
-// not.
-TEST(EndpointStarts, TakesStatedTimesOfACachedListAndOfTheFirstOne) {
-  EndpointStarts starts;
+// A process that starts with a correct clock doesn't mistake long-running endpoints of its first list for new
+// ones.
+TEST(EndpointStartTimes, UsesStatedTimesOfACachedListAndOfTheFirstList) {
+  EndpointStartTimes starts;
   EndpointList cached = snapshot_at(0, {endpoint("a").started_at(10), endpoint("b").started_at(20)});
 
   starts.set_cached_start_times(cached, 100, right_wall_clock());
@@ -72,8 +73,8 @@
   EXPECT_THAT(started[2], about(60));
 }
 
-TEST(EndpointStarts, KeepsAStartWhenADelayedListStatesThePreviousOne) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, KeepsAStartWhenADelayedListStatesThePreviousOne) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a").started_at(50)});
 
   double started = first_start_time(starts, 102, {endpoint("a").started_at(101)});
@@ -83,8 +84,8 @@
   EXPECT_EQ(first_start_time(starts, 105, {endpoint("a").started_at(101)}), started);
 }
 
-TEST(EndpointStarts, TakesStatedTimesOfAnotherDiscoverysEndpoints) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, UsesStatedTimesOfTheEndpointsOfAnotherDiscoveryService) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
 
   starts.on_source_changed();
@@ -95,8 +96,8 @@
   EXPECT_THAT(started[1], about(30));
 }
 
-TEST(EndpointStarts, BoundsNewNamesOfAnotherDiscoveryThatListsMostlyKnownOnes) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, BoundsNewEndpointsOfAnotherDiscoveryServiceThatListsMostlyKnownOnes) {
+  EndpointStartTimes starts;
   first_start_time(starts, 100, {endpoint("a"), endpoint("b")});
   starts.on_source_changed();
   start_times(starts,
@@ -112,8 +113,8 @@
   EXPECT_EQ(started[2], 104);
 }
 
-TEST(EndpointStarts, RemembersABoundedNumberOfUnlistedEndpoints) {
-  EndpointStarts starts;
+TEST(EndpointStartTimes, RemembersABoundedNumberOfUnlistedEndpoints) {
+  EndpointStartTimes starts;
 
   for (int i = 0; i < 20000; ++i) {
     EndpointBuilder fresh = endpoint("s-" + std::to_string(i)).started_at(100.0 + i);
@@ -123,23 +124,24 @@
     start_times(starts, changes_at(30000 + i, {endpoint("t-" + std::to_string(i)).removed()}));
   }
 
-  EXPECT_LE(starts.known_endpoint_count(), EndpointStarts::kMaxUnlistedEndpoints + 2);
+  EXPECT_LE(starts.known_endpoint_count(), EndpointStartTimes::kMaxUnlistedEndpoints + 2);
 }
 
-// A successor takes over under slow start while the wall clock is stepped. Endpoints keep their starts, and
-// what starts meanwhile is bounded by the predecessor's last message.
-TEST(EndpointStarts, KeepsStartsWhenTheClockIsSteppedDuringAHandover) {
+// The wall clock is stepped during a hot restart while an endpoint is in slow start. Endpoints keep their
+// starts, and the start of an endpoint that starts meanwhile is bounded by discovery's last message to the
+// predecessor.
+TEST(EndpointStartTimes, KeepsStartsIfTheClockIsSteppedDuringAHotRestart) {
   for (double step : kWallClockErrors) {
     SCOPED_TRACE(step);
-    EndpointStarts predecessor;
+    EndpointStartTimes predecessor;
     first_start_time(predecessor, 100, {endpoint("a"), endpoint("b"), endpoint("c")});
     EndpointList list = snapshot_at(104, {endpoint("a").started_at(103), endpoint("b"), endpoint("c")});
     predecessor.on_list(list, right_wall_clock());
-    list.entries[1].online_since_s = 103.7;  // as ordered by an operator
-    list.received_at_s = 0;                  // as in a list that the proxy has put together
+    list.entries[1].online_since_s = 103.7;  // set by an operator's override
+    list.received_at_s = 0;                  // as in a list that the proxy has assembled
     predecessor.export_start_times(list);
 
-    EndpointStarts successor;
+    EndpointStartTimes successor;
     successor.import_start_times(list);
     EndpointList cached = list;
     successor.set_cached_start_times(cached, 104.2, wall_clock_ahead_by(step));
--- a/src/server/run.cpp
+++ b/src/server/run.cpp
@@ -124,7 +124,7 @@
 // Asks the predecessor, if there is one, to hand over; keeps the newer endpoint list of both.
 Takeover take_over(Log& log, SidecarConfig& config) {
   Result<Takeover, TakeoverError> requested =
-      request_takeover(control_path(config.listen), kTakeoverTimeoutSeconds);
+      request_takeover(control_socket_path(config.listen), kTakeoverTimeoutSeconds);
   if (!requested) {
     if (requested.error() != TakeoverError::NoPredecessor) {
       log.event(Level::Warning, "hot_restart.takeover_failed")
--- a/src/server/sidecar.cpp
+++ b/src/server/sidecar.cpp
@@ -60,7 +60,7 @@
   if (config_.admin.empty()) return;
   has_predecessor_ = takeover_.predecessor != nullptr;
   if (has_predecessor_) limiter_.share_limits(true);
-  hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_path(config_.listen),
+  hot_restart_.emplace(loop, static_cast<HotRestart::Owner&>(*this), control_socket_path(config_.listen),
                        std::move(takeover_.predecessor));
   admin_.emplace(loop, limiter_, overrides_, static_cast<AdminApi::Owner&>(*this));
 }
--- a/src/server/sidecar.h
+++ b/src/server/sidecar.h
@@ -94,7 +94,7 @@
   RequestForwarder forwarder_;
   DownstreamConnections downstream_;
   Listener listener_;
-  EndpointStarts starts_;
+  EndpointStartTimes starts_;
   DiscoveryWatch watch_;
   OverrideController overrides_;
   Takeover takeover_;
