--- a/testing/answering.h
+++ b/testing/answering.h
@@ -1,4 +1,4 @@
-// Stand-ins for endpoints that are well.
+// Stand-ins for healthy endpoints.
 #pragma once
 
 #include <atomic>
@@ -9,44 +9,45 @@
 
 namespace puffinvane::test {
 
-// An endpoint that answers all that comes, from a thread for each connection.
+// An endpoint that answers every request after 5 ms, with one thread per connection.
 class AnsweringEndpoint {
  public:
   explicit AnsweringEndpoint(int last, std::string answer = ok_response("x"))
       : listener(last, 512), answer_(std::move(answer)), accepting_([this] { accept(); }) {}
   ~AnsweringEndpoint() {
-    over_ = true;
+    is_stopping_ = true;
     accepting_.join();
-    for (std::thread& one : serving_) one.join();
+    for (std::thread& thread : serving_) thread.join();
   }
   Listener listener;
   std::atomic<int> served = 0, open = 0, opened = 0;
 
  private:
   void accept() {
-    while (!over_) {
+    while (!is_stopping_) {
       if (listener.has_connection_within(0.02))
-        serving_.emplace_back([this, line = listener.accept_connection()]() mutable { serve(line); });
+        serving_.emplace_back(
+            [this, connection = listener.accept_connection()]() mutable { serve(connection); });
     }
   }
-  void serve(TestConnection& line) {
+  void serve(TestConnection& connection) {
     ++open, ++opened;
-    while (answer(line)) {
+    while (answer_next(connection)) {
     }
     --open;
   }
-  bool answer(TestConnection& line) {
+  bool answer_next(TestConnection& connection) {
     for (;;) {
-      if (over_) return false;
-      if (!line.has_input_within(0.02)) continue;
-      if (!line.receive_message(HttpReader::Side::Request)) return false;
+      if (is_stopping_) return false;
+      if (!connection.has_input_within(0.02)) continue;
+      if (!connection.receive_message(HttpReader::Side::Request)) return false;
       sleep_for(0.005);
       ++served;
-      return line.send_text(answer_);
+      return connection.send_text(answer_);
     }
   }
   const std::string answer_;
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> is_stopping_ = false;
   std::vector<std::thread> serving_;
   std::thread accepting_;
 };
--- a/testing/discovery_stand_ins.h
+++ b/testing/discovery_stand_ins.h
@@ -1,5 +1,5 @@
-// Discovery and the owner of a watch, as tests of the watch stand in for them: the watch runs in this
-// process, discovery in a thread of its own with blocking sockets.
+// Test doubles of discovery and of the owner of a discovery watch. The watch runs in this process; discovery
+// runs in its own thread with blocking sockets.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,24 +18,24 @@
 
 namespace puffinvane::test {
 
-// Of the address that discovery listens at.
+// Last part of the loopback address that discovery listens at.
 constexpr int kDiscoveryHost = 9;
 
 const inline std::string kResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// A line with the endpoint "a" and nothing else.
+// A snapshot line that lists only endpoint "a".
 inline std::string snapshot_line(int index) {
   return R"({"index":)" + std::to_string(index) + R"(,"snapshot":true,"endpoints":[)" +
          list_entry_json("a", "127.0.0.1:1") + "]}\n";
 }
 
-// A line with a change of "b".
+// A line with a change of endpoint "b".
 inline std::string change_line(int index) {
   return R"({"index":)" + std::to_string(index) + R"(,"snapshot":false,"endpoints":[)" +
          list_entry_json("b", "127.0.0.1:" + std::to_string(index)) + "]}\n";
 }
 
-// An event loop that runs until something has happened, or for a time.
+// An event loop that runs until a condition holds, or for a given time.
 class EventLoop {
  public:
   explicit EventLoop(int descriptors = 64) : log_(std::cerr, Level::Error), loop_(log_, descriptors) {
@@ -47,7 +47,7 @@
     loop_.at(loop_.now() + duration_s, [this] { loop_.quit(); });
     loop_.run();
   }
-  // Whether the condition held before the deadline; it is checked every 0.05 s.
+  // Returns whether the condition held before the deadline; it is checked every 0.05 s.
   bool run_until(const std::function<bool()>& condition, double deadline_s) {
     double ends_at_s = loop_.now() + deadline_s;
     std::function<void()> check = [&] {
@@ -58,18 +58,18 @@
     loop_.run();
     return condition();
   }
-  // Runs while `steps` play discovery in a thread, and 0.3 s longer for what it said last.
+  // Runs while `steps` play discovery in a thread, and 0.3 s longer to process what was sent last.
   void run_during(const std::function<void()>& steps) {
-    std::atomic<bool> is_played = false;
+    std::atomic<bool> is_finished = false;
     std::thread discovery([&] {
       steps();
-      is_played = true;
+      is_finished = true;
     });
-    EXPECT_TRUE(run_until([&] { return is_played.load(); }, 60));
+    EXPECT_TRUE(run_until([&] { return is_finished.load(); }, 60));
     run_for(0.3);
     discovery.join();
   }
-  // Runs for a time while `steps` play discovery in a thread.
+  // Runs for the given time while `steps` play discovery in a thread.
   void run_beside(const std::function<void()>& steps, double duration_s) {
     std::thread discovery(steps);
     run_for(duration_s);
@@ -81,16 +81,16 @@
   Loop loop_;
 };
 
-// The owner of a watch, with what the watch has reported.
+// The owner of a watch; records what the watch has reported.
 class WatchOwner final : DiscoveryWatch::Owner {
  public:
   WatchOwner(Loop& loop, const std::string& discovery, std::uint64_t seed, DiscoveryMode mode)
       : watch_(loop, *this, starts_, {.address = discovery, .mode = mode, .backoff_seed = seed}) {
     watch_.start();
   }
-  // When each list came, on the monotonic clock.
+  // When each list was received, on the monotonic clock.
   const std::vector<double>& received_at_s() const { return received_at_s_; }
-  // Of the first endpoint of the last list that had one.
+  // Start time of the first endpoint of the last list that was not empty.
   double first_started_at_s() const { return first_started_at_s_; }
 
  private:
@@ -104,19 +104,19 @@
   DiscoveryWatch watch_;
 };
 
-// Takes the next call, which has to ask after that index, and answers it.
+// Accepts the next call, checks that it asks for changes after that index, and answers it.
 inline TestConnection answer_call(Listener& discovery, const std::string& after, const std::string& chunks) {
   std::pair<TestConnection, HttpMessage> call = discovery.accept_request();
   EXPECT_EQ(call.second.target, "/v1/servers?watch=1&after=" + after);
-  TestConnection line = std::move(call.first);
-  line.send_text(kResponseHead + chunks);
-  return line;
+  TestConnection connection = std::move(call.first);
+  connection.send_text(kResponseHead + chunks);
+  return connection;
 }
 
-// Takes the next call and says nothing.
+// Accepts the next call and leaves it unanswered.
 inline TestConnection take_call(Listener& discovery) { return discovery.accept_request().first; }
 
-// Fills the backlog of a listener that has room for one, so that the next connection does not come up, for
+// Fills the backlog of a listener whose backlog is 1, so that the next connection is not established until
 // 0.2 s after `call` has ended.
 inline bool refuse_connection_after(Listener& discovery, TestConnection& call,
                                     double call_ends_within_s = 3) {
--- a/testing/endpoint_lists.h
+++ b/testing/endpoint_lists.h
@@ -1,4 +1,4 @@
-// Builders for endpoint lists as discovery states them, by a clock of its own that is right.
+// Builders for endpoint lists as discovery states them. Discovery has its own clock, which is right.
 #pragma once
 
 #include <cmath>
@@ -10,13 +10,13 @@
 
 namespace puffinvane::test {
 
-// Unix time less the monotonic clock, by the clock that discovery states starts by.
+// Unix time minus the monotonic clock, by the clock of discovery.
 constexpr double kStatedClockOffsetSeconds = 1.7e9;
 
 class EndpointBuilder {
  public:
   explicit EndpointBuilder(std::string name) { entry_.endpoint = std::move(name); }
-  // On the monotonic clock; without it no start is stated.
+  // On the monotonic clock. If it is not called, the list states no start time.
   EndpointBuilder& started_at(double started_at_s) {
     stated_start_ms_ = std::round((started_at_s + kStatedClockOffsetSeconds) * 1000);
     return *this;
--- a/testing/helpers.h
+++ b/testing/helpers.h
@@ -1,4 +1,4 @@
-// Tests that check by assert() include this after all other headers: it keeps assert() in Release builds.
+// Included after all other headers by tests that use assert(): keeps assert() in Release builds.
 #pragma once
 
 #undef NDEBUG
--- a/testing/log_pipe.h
+++ b/testing/log_pipe.h
@@ -1,4 +1,4 @@
-// A pipe that is full and that nobody reads, as the log of a program under test.
+// A pipe that can be filled up and left unread, as the log of a program under test.
 #pragma once
 
 #include <fcntl.h>
@@ -29,9 +29,10 @@
     close(read_end_);
     close(write_end_);
   }
-  // What the program writes to, which blocks once the pipe is full.
+  // The end that the program writes to; writes block once the pipe is full.
   int write_end() const { return write_end_; }
-  // Fills it to its last byte, through an open file of its own, so that the write end goes on blocking.
+  // Fills the pipe to its last byte, through a separate open file description, so that the write end stays
+  // blocking.
   void fill() const {
     const std::string path = "/proc/self/fd/" + std::to_string(write_end_);
     const int filling = open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC);
@@ -43,7 +44,7 @@
     }
     close(filling);
   }
-  // All that lies in it.
+  // Everything in the pipe.
   std::string read_all() const {
     std::string text;
     char bytes[4096];
@@ -52,7 +53,7 @@
     }
     return text;
   }
-  // All that comes until it has that word in it.
+  // Everything written until it contains `word`, or until the time is over.
   std::string read_until(const std::string& word, double deadline_s) const {
     std::string text;
     for (double until = now() + deadline_s; text.find(word) == std::string::npos && now() < until;) {
@@ -67,7 +68,7 @@
   int write_end_ = -1;
 };
 
-// While it lives, programs that are started have the pipe as standard output and standard error.
+// While this object exists, child processes inherit the pipe as standard output and standard error.
 class InheritedOutput {
  public:
   explicit InheritedOutput(const LogPipe& pipe)
--- a/testing/peers.h
+++ b/testing/peers.h
@@ -1,5 +1,5 @@
-// Peers of a program under test: the test itself stands in for clients, endpoints and discovery, step by step
-// and with blocking sockets.
+// Peers of a program under test: tests play clients, endpoints and discovery themselves, step by step with
+// blocking sockets.
 #pragma once
 
 #undef NDEBUG
@@ -31,38 +31,39 @@
 }
 inline void sleep_for(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
-// A connection to an endpoint is used again once nothing more has come on it for a while.
+// Waits until an upstream connection may be reused: the sidecar first makes sure that nothing follows the
+// response.
 inline void wait_until_reusable() { sleep_for(0.05); }
 
 inline sockaddr_in address_of(const std::string& text) {
-  sockaddr_in made{};
-  made.sin_family = AF_INET;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
   std::size_t colon = text.find(':');
-  made.sin_port = htons(std::uint16_t(std::stoi(text.substr(colon + 1))));
-  assert(inet_pton(AF_INET, text.substr(0, colon).c_str(), &made.sin_addr) == 1);
-  return made;
+  address.sin_port = htons(std::uint16_t(std::stoi(text.substr(colon + 1))));
+  assert(inet_pton(AF_INET, text.substr(0, colon).c_str(), &address.sin_addr) == 1);
+  return address;
 }
 
-// A blocking socket that gives up after three seconds.
+// A connection on a blocking socket, with a read timeout of three seconds.
 class TestConnection {
  public:
   explicit TestConnection(int descriptor) : descriptor_(descriptor) {
-    timeval most{3, 0};
-    setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &most, sizeof most);
+    timeval timeout{3, 0};
+    setsockopt(descriptor_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   }
   explicit TestConnection(const std::string& to)
       : TestConnection(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in address = address_of(to);
-    int small = 4096;  // so that an answer of 64 KiB can't be written in one go
-    setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+    int buffer_bytes = 4096;  // so that a response of 64 KiB cannot be written at once
+    setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &buffer_bytes, sizeof buffer_bytes);
     connected = connect(descriptor_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
   }
   TestConnection(TestConnection&& other) noexcept
       : connected(other.connected),
         descriptor_(std::exchange(other.descriptor_, -1)),
-        held_(std::move(other.held_)) {}
+        unparsed_(std::move(other.unparsed_)) {}
   TestConnection& operator=(TestConnection&& other) noexcept {
-    std::swap(descriptor_, other.descriptor_), std::swap(held_, other.held_);
+    std::swap(descriptor_, other.descriptor_), std::swap(unparsed_, other.unparsed_);
     return *this;
   }
   ~TestConnection() { disconnect(); }
@@ -71,8 +72,8 @@
     if (descriptor_ >= 0) close(std::exchange(descriptor_, -1));
   }
   void reset() {
-    linger hard{1, 0};
-    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    linger reset_on_close{1, 0};
+    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     disconnect();
   }
   bool send_text(const std::string& text) {
@@ -84,44 +85,45 @@
     }
     return true;
   }
-  // As much of it as the system takes at once.
+  // Sends as much as the kernel accepts without blocking, and returns the number of bytes.
   std::size_t send_what_fits(const std::string& text) {
     std::size_t sent = 0;
     for (ssize_t count = 1; count > 0 && sent<text.size(); sent += count> 0 ? std::size_t(count) : 0)
       count = send(descriptor_, text.data() + sent, text.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
     return sent;
   }
-  // Says it and closes, all in one packet.
+  // Sends the text and closes, so that both arrive in one packet.
   void send_and_close(const std::string& text) {
     int yes = 1;
     setsockopt(descriptor_, IPPROTO_TCP, TCP_CORK, &yes, sizeof yes);
     send_text(text);
     disconnect();
   }
-  // The next whole message, if one comes.
+  // The next complete message, if one comes.
   std::optional<HttpMessage> receive_message(HttpReader::Side side,
-                                             std::size_t most_body = HttpReader::kMaxBodyBytes) {
-    HttpReader reader(side, pool(), most_body);
+                                             std::size_t max_body_bytes = HttpReader::kMaxBodyBytes) {
+    HttpReader reader(side, pool(), max_body_bytes);
     while (true) {
-      held_.erase(0, reader.feed(held_));
+      unparsed_.erase(0, reader.feed(unparsed_));
       if (reader.is_complete()) return reader.take();
       char bytes[65536];
       ssize_t count = recv(descriptor_, bytes, sizeof bytes, 0);
-      if (count < 0 && errno == EINTR) continue;  // a child was stopped or goes on
+      if (count < 0 && errno == EINTR) continue;  // SIGCHLD: a child was stopped or continued
       if (count < 0) return {};
       if (count == 0) reader.end_of_input();
       if (reader.is_complete()) return reader.take();
       if (count == 0) return {};
-      held_.append(bytes, std::size_t(count));
+      unparsed_.append(bytes, std::size_t(count));
     }
   }
+  // The status of the next response, 0 if none comes.
   int response_status() {
     auto answer = receive_message(HttpReader::Side::Response);
     return answer ? answer->status : 0;
   }
-  // All that comes until it has that word in it, or ends.
+  // Everything received until it contains `word`, the connection ends or the time is over.
   std::string receive_until(const std::string& word, double within) {
-    std::string text = std::exchange(held_, {});
+    std::string text = std::exchange(unparsed_, {});
     for (double until = now() + within; text.find(word) == std::string::npos && now() < until;) {
       char bytes[4096];
       ssize_t count = recv(descriptor_, bytes, sizeof bytes, 0);
@@ -130,34 +132,36 @@
     }
     return text;
   }
+  // Whether the connection ends, in either way.
   bool ends_within(double within = 3) {
-    pollfd one{descriptor_, POLLIN, 0};
+    pollfd polled{descriptor_, POLLIN, 0};
     char byte;
     double until = now() + within;
     while (now() < until) {
-      if (poll(&one, 1, int((until - now()) * 1000) + 1) > 0 && recv(descriptor_, &byte, 1, 0) <= 0)
+      if (poll(&polled, 1, int((until - now()) * 1000) + 1) > 0 && recv(descriptor_, &byte, 1, 0) <= 0)
         return true;
     }
     return false;
   }
-  // It ends, and not by a reset.
+  // Whether the connection ends, and not by a reset.
   bool closes_within(double within) {
-    pollfd one{descriptor_, POLLIN, 0};
+    pollfd polled{descriptor_, POLLIN, 0};
     char byte;
     for (double until = now() + within; now() < until;) {
-      if (poll(&one, 1, int((until - now()) * 1000) + 1) <= 0) continue;
+      if (poll(&polled, 1, int((until - now()) * 1000) + 1) <= 0) continue;
       if (ssize_t count = recv(descriptor_, &byte, 1, 0); count <= 0) return count == 0;
     }
     return false;
   }
-  // It is reset; its end alone doesn't count.
+  // Whether the connection is reset; an orderly end does not count.
   bool is_reset_within(double within) const {
-    pollfd one{descriptor_, 0, 0};
-    return poll(&one, 1, int(within * 1000)) > 0 && (one.revents & (POLLERR | POLLHUP));
+    pollfd polled{descriptor_, 0, 0};
+    return poll(&polled, 1, int(within * 1000)) > 0 && (polled.revents & (POLLERR | POLLHUP));
   }
+  // Whether data or the end of the connection arrives.
   bool has_input_within(double within) const {
-    pollfd one{descriptor_, POLLIN, 0};
-    return poll(&one, 1, int(within * 1000)) > 0;
+    pollfd polled{descriptor_, POLLIN, 0};
+    return poll(&polled, 1, int(within * 1000)) > 0;
   }
   bool connected = false;
 
@@ -167,12 +171,12 @@
     return pool;
   }
   int descriptor_;
-  std::string held_;
+  std::string unparsed_;
 };
 
 inline std::string loopback_address(int last) {
-  int mine = getpid();  // an address of this run's own, so that runs side by side don't meet
-  return "127." + std::to_string(1 + mine / 250 % 250) + "." + std::to_string(mine % 250) + "." +
+  int process_id = getpid();  // differs between test runs, so that they can run in parallel
+  return "127." + std::to_string(1 + process_id / 250 % 250) + "." + std::to_string(process_id % 250) + "." +
          std::to_string(last);
 }
 
@@ -190,19 +194,19 @@
   ~Listener() { close(descriptor_); }
   Listener(const Listener&) = delete;
   bool has_connection_within(double within) const {
-    pollfd one{descriptor_, POLLIN, 0};
-    return poll(&one, 1, int(within * 1000)) > 0;
+    pollfd polled{descriptor_, POLLIN, 0};
+    return poll(&polled, 1, int(within * 1000)) > 0;
   }
   TestConnection accept_connection() {
     assert(has_connection_within(3));
     return TestConnection(accept4(descriptor_, nullptr, nullptr, SOCK_CLOEXEC));
   }
-  // A connection and the request on it.
+  // Accepts a connection and receives a request on it.
   std::pair<TestConnection, HttpMessage> accept_request() {
-    TestConnection line = accept_connection();
-    auto request = line.receive_message(HttpReader::Side::Request);
+    TestConnection connection = accept_connection();
+    auto request = connection.receive_message(HttpReader::Side::Request);
     assert(request);
-    return {std::move(line), std::move(*request)};
+    return {std::move(connection), std::move(*request)};
   }
   const std::string address;
 
--- a/testing/program_main.h
+++ b/testing/program_main.h
@@ -1,4 +1,4 @@
-// The main function of GoogleTest programs that test a program, whose path is their one argument.
+// The main function of GoogleTest programs whose one argument is the path of the program under test.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/testing/running.h
+++ b/testing/running.h
@@ -1,4 +1,4 @@
-// The program under test as a child, and what is said to it.
+// Runs the sidecar under test as a child process, and builds the requests and responses that tests send.
 #pragma once
 
 #include <sys/resource.h>
@@ -21,20 +21,21 @@
          status + R"(","weight":1,"since_ms":0})";
 }
 
-inline std::string program;  // its path, from the command line
+inline std::string program;  // path of the program under test, from the command line
 
 class SidecarProcess {
  public:
   struct Options {
     std::string limits = R"({"sockets":1024,"memory_mb":192})", connect_timeout = "0.1", shadow{}, admin{};
     std::string client_timeout = "1.0", latency_objective = "0.5";
-    std::string discovery_mode = "pushed";  // or on_request: asking for the list is priced
-    int number = 0;                         // of several processes of one sidecar
-    unsigned descriptor_limit = 0;  // descriptors that the system lets it have; none: as many as this process
-    Listener* discovery = nullptr;  // another's
-    std::vector<std::pair<std::string, std::string>>
-        environment{};         // more of it, as of testing/faults/faults.h
-    std::string rules = "{}";  // of the settings
+    // Or "on_request", where calls to discovery are costly and one watch stays open.
+    std::string discovery_mode = "pushed";
+    int number = 0;                 // tells several processes of one sidecar apart
+    unsigned descriptor_limit = 0;  // RLIMIT_NOFILE of the process; 0: as inherited
+    Listener* discovery = nullptr;  // null: a listener of its own
+    // Further variables, such as those of testing/faults/faults.h.
+    std::vector<std::pair<std::string, std::string>> environment{};
+    std::string rules = "{}";  // the Rules object of the settings
   };
   SidecarProcess(const std::string& known, const std::string& limits,
                  const std::string& connect_timeout = "0.1", const std::string& shadow = "")
@@ -51,9 +52,9 @@
     write_configuration(discovery_.address);
     child_ = fork();
     if (child_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // a test that does not hold must not leave it running
-      rlimit most{options.descriptor_limit, options.descriptor_limit};
-      if (options.descriptor_limit > 0) setrlimit(RLIMIT_NOFILE, &most);
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // an aborted test must not leave it running
+      rlimit limit{options.descriptor_limit, options.descriptor_limit};
+      if (options.descriptor_limit > 0) setrlimit(RLIMIT_NOFILE, &limit);
       setenv("BALANCER_CONFIG", (file_prefix_ + ".json").c_str(), 1);
       setenv("PUFFINVANE_LOG", "error", 1);
       for (const auto& [name, value] : options.environment) setenv(name.c_str(), value.c_str(), 1);
@@ -61,7 +62,8 @@
       _exit(127);
     }
     double until = now() + 5;
-    // A later process is waited for at its admin: the listener may be the earlier one's yet.
+    // Tests wait for a later process through its admin API: the listener may still be held by the earlier
+    // one.
     while (options.number == 0 && now() < until && status_of("GET /healthz HTTP/1.1\r\n\r\n") != 200)
       sleep_for(0.01);
     assert(now() < until);
@@ -85,31 +87,35 @@
            attempts + R"(,"ConnectTimeoutS":)" + connect_timeout + R"(},"Rules":)" + rules +
            R"(,"RoundS":0.005,"Zone":"z","RegistryMode":")" + discovery_mode + R"("})";
   }
+  // The report on the shadow policy; empty if there is none.
   std::string shadow_report() {
-    TestConnection line(listen);
-    line.send_text("GET /watch HTTP/1.1\r\n\r\n");
-    auto answer = line.receive_message(HttpReader::Side::Response);
+    TestConnection connection(listen);
+    connection.send_text("GET /watch HTTP/1.1\r\n\r\n");
+    auto answer = connection.receive_message(HttpReader::Side::Response);
     return answer && answer->status == 200 ? answer->body.text() : "";
   }
+  // Takes effect at the next reload().
   void write_configuration(const std::string& discovery_at) {
     std::ofstream(file_prefix_ + ".json") << R"({"name":"n0","listen":")" << listen << R"(","discovery":")"
                                           << discovery_at << '"' << configuration_rest_;
   }
   void reload() { kill(child_, SIGHUP); }
+  // Sends the request on a new connection; 0 if that fails or no response comes.
   int status_of(const std::string& request) {
-    TestConnection line(listen);
-    if (!line.connected) return 0;
-    line.send_text(request);
-    return line.response_status();
+    TestConnection connection(listen);
+    if (!connection.connected) return 0;
+    connection.send_text(request);
+    return connection.response_status();
   }
   void terminate() { kill(child_, SIGTERM); }
-  template <typename Act>
-  void while_stopped(Act act) {
+  // Runs `action` while the process is stopped by SIGSTOP.
+  template <typename Action>
+  void while_stopped(Action action) {
     kill(child_, SIGSTOP);
-    act();
+    action();
     kill(child_, SIGCONT);
   }
-  // Its exit code, once it has left; -1 if it does not within that time.
+  // The exit code, 256 if it was ended by a signal, -1 if it does not end within that time.
   int exit_code(double within) {
     int status = 0;
     for (double until = now() + within; now() < until; sleep_for(0.005)) {
@@ -130,7 +136,7 @@
   const std::string listen;
 
  private:
-  // All of the start file that stays as it is when discovery moves: what follows the address.
+  // The part of the configuration file after the discovery address, which is the same in every version of it.
   static std::string rest_of_configuration(const std::string& known, const Options& options) {
     return R"(,"seed":"1f","limits":)" + options.limits +
            R"(,"known":{"index":7,"snapshot":true,"endpoints":[)" + known + R"(]},"settings":)" +
--- a/testing/soak_client.h
+++ b/testing/soak_client.h
@@ -1,5 +1,5 @@
-// A client for soaks: it sends one request after another on each connection that stays open, and notes how
-// each ended.
+// A client for soak tests: it sends one request after another on each connection that stays open, and records
+// how each ended.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,7 @@
 
 namespace puffinvane::test {
 
-// A connection that tells an orderly end from a reset, which TestConnection does not.
+// A connection that distinguishes an orderly end from a reset, which TestConnection does not.
 class SoakConnection {
  public:
   enum class End { Answered, Closed, Reset, Silent };
@@ -34,7 +34,7 @@
   ~SoakConnection() { close(descriptor_); }
 
   bool is_connected() const { return is_connected_; }
-  // Its end, or a byte that nobody asked for, has come.
+  // Whether the connection has ended or received unexpected data.
   bool has_ended() const {
     pollfd polled{descriptor_, POLLIN, 0};
     return poll(&polled, 1, 0) > 0;
@@ -61,7 +61,7 @@
     }
     return {End::Silent};
   }
-  // After an orderly end: whether a reset followed, as it does where what was sent was never read.
+  // After an orderly end: whether a reset followed, which means that the last data sent was never read.
   bool was_reset_later() const {
     int error = 0;
     socklen_t size = sizeof error;
@@ -74,45 +74,45 @@
   bool is_connected_ = false;
 };
 
-// One request of a client, and what became of it.
+// One request of a client and its outcome.
 struct SoakRequest {
   std::string id;
   bool is_unsafe = false;
   double sent_at_s = 0;
   double ended_at_s = 0;
   SoakConnection::Reply reply;
-  std::shared_ptr<SoakConnection> connection;  // kept where it ended without an answer
+  std::shared_ptr<SoakConnection> connection;  // set if there was no response
 };
 
-// Sends from a thread of its own until it is stopped, or nobody listens any more.
+// Sends requests from its own thread until it is stopped, or until the address accepts no connection.
 class SoakClient {
  public:
   struct Options {
     std::string address;
     std::string name;
     double pause_s = 0;    // between a reply and the next request
-    double give_up_s = 0;  // after which no reply is waited for any more
+    double give_up_s = 0;  // how long to wait for a reply
     bool is_unsafe = false;
-    bool reconnects = true;  // where its connection ends; else it stops there
+    bool reconnects = true;  // when its connection ends; else the client stops
   };
   explicit SoakClient(Options options) : options_(std::move(options)), sending_([this] { run(); }) {}
   SoakClient(const SoakClient&) = delete;
   SoakClient& operator=(const SoakClient&) = delete;
   ~SoakClient() { stop(); }
 
-  // Returns once its last request has ended.
+  // Returns once the last request has ended.
   void stop() {
-    is_over_ = true;
+    is_stopping_ = true;
     if (sending_.joinable()) sending_.join();
   }
-  // Once it is stopped.
+  // Valid after stop().
   const std::vector<SoakRequest>& requests() const { return requests_; }
 
  private:
   static constexpr double kReconnectPauseSeconds = 0.02;
 
   void run() {
-    while (!is_over_) {
+    while (!is_stopping_) {
       auto connection = std::make_shared<SoakConnection>(options_.address);
       if (connection->is_connected()) use(connection);
       if (!options_.reconnects) return;
@@ -120,13 +120,13 @@
     }
   }
   void use(const std::shared_ptr<SoakConnection>& connection) {
-    bool goes_on = true;
-    while (goes_on && !is_over_ && !connection->has_ended()) {
-      goes_on = request_once(connection);
+    bool is_reusable = true;
+    while (is_reusable && !is_stopping_ && !connection->has_ended()) {
+      is_reusable = request_once(connection);
       sleep_for(options_.pause_s);
     }
   }
-  // Whether the connection may be used again.
+  // Returns whether the connection may be reused.
   bool request_once(const std::shared_ptr<SoakConnection>& connection) {
     SoakRequest request;
     request.id = options_.name + "-" + std::to_string(requests_.size());
@@ -136,7 +136,8 @@
                              std::string(" HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: ") + request.id +
                              "\r\n";
     const std::string text = head + (request.is_unsafe ? "Content-Length: 1\r\n\r\nx" : "\r\n");
-    if (!connection->send_text(text)) return false;  // it had ended: the request was never taken
+    if (!connection->send_text(text))
+      return false;  // the connection had ended: the request was never accepted
     request.reply = connection->receive_reply(request.sent_at_s + options_.give_up_s);
     request.ended_at_s = now();
     const bool is_answered = request.reply.end == SoakConnection::End::Answered;
@@ -147,7 +148,7 @@
 
   const Options options_;
   std::vector<SoakRequest> requests_;
-  std::atomic<bool> is_over_ = false;
+  std::atomic<bool> is_stopping_ = false;
   std::thread sending_;
 };
 
--- a/testing/soak_endpoint.h
+++ b/testing/soak_endpoint.h
@@ -1,5 +1,4 @@
-// An endpoint for soaks: it remembers which requests came whole, and from some moment on takes them and never
-// answers.
+// An endpoint for soak tests: it records which requests arrived completely, and can be made to hang.
 #pragma once
 
 #include <atomic>
@@ -14,7 +13,7 @@
 
 namespace puffinvane::test {
 
-// How often each request came whole to any endpoint, by its id. Used by many threads.
+// How often each request arrived completely at any endpoint, by its id. Thread-safe.
 class ReceivedRequests {
  public:
   void record(const std::string& id) {
@@ -32,7 +31,7 @@
   std::map<std::string, int> counts_;
 };
 
-// Serves each connection on a thread of its own.
+// Serves each connection on its own thread.
 class SoakEndpoint {
  public:
   SoakEndpoint(int last, ReceivedRequests& received, double response_time_s)
@@ -43,38 +42,39 @@
   SoakEndpoint(const SoakEndpoint&) = delete;
   SoakEndpoint& operator=(const SoakEndpoint&) = delete;
   ~SoakEndpoint() {
-    is_over_ = true;
+    is_stopping_ = true;
     accepting_.join();
     for (std::thread& thread : serving_) thread.join();
   }
   const std::string& address() const { return listener_.address; }
-  // From now on requests are taken and never answered.
+  // From now on, requests are received and never answered.
   void hang() { is_hanging_ = true; }
 
  private:
   static constexpr double kPollSeconds = 0.02;
 
   void accept() {
-    while (!is_over_) {
+    while (!is_stopping_) {
       if (!listener_.has_connection_within(kPollSeconds)) continue;
-      serving_.emplace_back([this, line = listener_.accept_connection()]() mutable { serve(line); });
+      serving_.emplace_back(
+          [this, connection = listener_.accept_connection()]() mutable { serve(connection); });
     }
   }
-  void serve(TestConnection& line) {
-    while (!is_over_) {
-      if (!line.has_input_within(kPollSeconds)) continue;
-      std::optional<HttpMessage> request = line.receive_message(HttpReader::Side::Request);
+  void serve(TestConnection& connection) {
+    while (!is_stopping_) {
+      if (!connection.has_input_within(kPollSeconds)) continue;
+      std::optional<HttpMessage> request = connection.receive_message(HttpReader::Side::Request);
       if (!request) return;
       received_.record(std::string(request->header(kRequestIdHeader)));
       sleep_for(response_time_s_);
-      if (!is_hanging_ && !line.send_text(ok_response("x"))) return;
+      if (!is_hanging_ && !connection.send_text(ok_response("x"))) return;
     }
   }
 
   Listener listener_;
   ReceivedRequests& received_;
   const double response_time_s_;
-  std::atomic<bool> is_over_ = false;
+  std::atomic<bool> is_stopping_ = false;
   std::atomic<bool> is_hanging_ = false;
   std::vector<std::thread> serving_;
   std::thread accepting_;
--- a/testing/start_times.h
+++ b/testing/start_times.h
@@ -1,5 +1,5 @@
-// What tests of endpoint start times share: how lists reach EndpointStartTimes, and what a time is compared
-// with.
+// Shared by tests of endpoint start times: passes lists to the converter of start times, and compares times
+// with a tolerance.
 #pragma once
 
 #include <gmock/gmock.h>
@@ -12,7 +12,7 @@
 
 namespace puffinvane::test {
 
-// By how much a wall clock is ahead of the one that starts are stated by, in seconds.
+// By how much the wall clock is ahead of the clock that start times are stated by, in seconds.
 constexpr double kWallClockErrors[] = {-3600, -5, 5, 3600};
 constexpr double kRoundingSeconds = 0.002;
 
@@ -33,7 +33,7 @@
 
 inline ClockOffsets right_wall_clock() { return wall_clock_ahead_by(0); }
 
-// The start times of a list's entries, in its order.
+// The start times of the entries of a list, in its order.
 inline std::vector<double> start_times(EndpointStartTimes& starts, EndpointList list,
                                        const ClockOffsets& offsets = right_wall_clock()) {
   starts.on_list(list, offsets);
@@ -42,7 +42,7 @@
   return started_at_s;
 }
 
-// The start time of a snapshot's first entry.
+// The start time of the first entry of a snapshot.
 inline double first_start_time(EndpointStartTimes& starts, double received_at_s,
                                const std::vector<EndpointBuilder>& endpoints, double wall_error_s = 0) {
   EndpointList list = snapshot_at(received_at_s, endpoints);
