--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -44,10 +44,11 @@
         {State::Watching, Event::ListRejected, State::BackingOff, &DiscoveryWatch::back_off_and_resync},
 };
 
-DiscoveryWatch::DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& starts, const Options& options)
+DiscoveryWatch::DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& start_times,
+                               const Options& options)
     : loop_(loop),
       owner_(owner),
-      starts_(starts),
+      start_times_(start_times),
       address_(options.address),
       mode_(options.mode),
       cursor_(options.mode, options.held_index),
@@ -66,7 +67,7 @@
 void DiscoveryWatch::change_address(const std::string& address) {
   if (address == address_) return;
   address_ = address;
-  starts_.on_source_changed();
+  start_times_.on_source_changed();
   cursor_.on_source_changed();
   apply(Event::AddressChanged);
 }
@@ -110,7 +111,7 @@
       timeouts_.on_list_late_for_renewal();
     } else if (asks_for_changes() && !cursor_.has_received_line()) {
       // A response head without any line: nothing had changed when the call was sent.
-      starts_.on_unchanged(timeout_started_at_s_);
+      start_times_.on_unchanged(timeout_started_at_s_);
     }
   }
   connect();
@@ -218,14 +219,14 @@
   has_received_list_ = true;
   is_fault_logged_ = false;
   list.received_at_s = loop_.now();
-  starts_.on_list(list, ClockOffsets{Loop::unix_offset(), date_offset_s_});
+  start_times_.on_list(list, ClockOffsets{Loop::unix_offset(), date_offset_s_});
   owner_.on_endpoint_list(list);
   on_response_received();
 }
 
 void DiscoveryWatch::on_unchanged() {
   is_fault_logged_ = false;
-  starts_.on_unchanged(loop_.now());
+  start_times_.on_unchanged(loop_.now());
   on_response_received();
 }
 
@@ -233,7 +234,7 @@
 // the first line of the response to a call for all endpoints, which has to be a list.
 void DiscoveryWatch::on_blank_line() {
   bool is_answer = !is_pushed() && (state_ == State::Watching || cursor_.holds_list());
-  if (is_answer || state_ == State::Watching) starts_.on_unchanged(loop_.now());
+  if (is_answer || state_ == State::Watching) start_times_.on_unchanged(loop_.now());
   if (is_answer) on_response_received();
 }
 
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -42,9 +42,9 @@
     std::uint64_t backoff_seed = 0;
   };
 
-  // `starts` has the start times of the endpoints that this discovery service lists. The loop, the owner and
-  // `starts` must outlive the watch.
-  DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& starts, const Options& options);
+  // `start_times` has the start times of the endpoints that this discovery service lists. The loop, the owner
+  // and `start_times` must outlive the watch.
+  DiscoveryWatch(Loop& loop, Owner& owner, EndpointStartTimes& start_times, const Options& options);
 
   // Begins the first call. To be called once.
   void start();
@@ -105,7 +105,7 @@
 
   Loop& loop_;
   Owner& owner_;
-  EndpointStartTimes& starts_;
+  EndpointStartTimes& start_times_;
   std::string address_;
   const DiscoveryMode mode_;
   ListCursor cursor_;
--- a/src/hot_restart/channel_test.cpp
+++ b/src/hot_restart/channel_test.cpp
@@ -115,7 +115,7 @@
   EXPECT_EQ(byte, 'x');
 }
 
-TEST_F(ChannelTest, RefusesASocketBehindQueuedPackets) {
+TEST_F(ChannelTest, RefusesASocketWhilePacketsAreQueued) {
   SocketPair attached = connected_sockets(SOCK_STREAM);
   constexpr std::size_t kPackets = 200;
   for (std::size_t i = 0; i < kPackets; ++i) sender_->send(std::string(std::size_t{48} * 1024, 'x'));
--- a/src/hot_restart/control_address_test.cpp
+++ b/src/hot_restart/control_address_test.cpp
@@ -55,7 +55,7 @@
   EXPECT_EQ(control_socket_path("a/b"), "");
 }
 
-TEST(ControlAddress, FindsNoSocketWhereThereIsNoFile) {
+TEST(ControlAddress, FindsNoSocketIfThereIsNoFile) {
   const test::ControlFolder folder;
 
   EXPECT_EQ(ControlAddress(folder.path()).socket_inode(), 0u);
--- a/src/hot_restart/takeover_test.cpp
+++ b/src/hot_restart/takeover_test.cpp
@@ -88,7 +88,7 @@
   EXPECT_EQ(requested.error(), TakeoverError::NoPredecessor);
 }
 
-TEST_F(TakeoverTest, GivesUpOnASilentPredecessor) {
+TEST_F(TakeoverTest, TimesOutIfThePredecessorIsSilent) {
   const Ref<GSocket> predecessor = listen_at(folder_.path());
 
   const auto requested = request_takeover(folder_.path(), kShortTimeoutSeconds);
