--- a/src/discovery/discovery_watch_timeouts_test.cpp
+++ b/src/discovery/discovery_watch_timeouts_test.cpp
@@ -82,8 +82,9 @@
       [&] {
         TestConnection watch = take_call(discovery);
         watch.send_text(kResponseHead);
-        for (int i = 0; i < 30 && !discovery.has_connection_within(0.1); ++i)
+        for (int i = 0; i < 30 && !discovery.has_connection_within(0.1); ++i) {
           watch.send_text(http_chunk("\n"));
+        }
         TestConnection next = take_call(discovery);
         next.send_text(kResponseHead + http_chunk(snapshot_line(1)));
         next.ends_within(0.2);
