--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -69,10 +69,11 @@
 }
 
 void Membership::on_timer(double now) {
-  // Timers aren't cancelled, so calls scheduled before a shorter one was requested arrive too. Rescheduling
-  // on each of them would let their number grow without bound.
+  // Timers aren't cancelled: this is also called at times that were requested before and replaced by an
+  // earlier one. If each such call scheduled another, their number would grow without bound.
   if (timer_at_ < 0 || now < timer_at_) return;
-  // This process was stalled: timeouts that expired meanwhile say nothing about other members.
+  // If the call is late, this process was stalled: timeouts that expired meanwhile say nothing about other
+  // members.
   if (now > timer_at_ + timing_.ack_timeout) on_stall(now - timer_at_);
   now_ = now;
   timer_at_ = -1;
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -154,7 +154,7 @@
   int awareness_ =
       0;  // Lifeguard's local health: higher if this member itself may be slow; stretches timeouts
   bool superseded_ = false, departed_ = false;
-  std::string superseded_by_;  // unused
+  std::string superseded_by_;  // never set
   Counts counts_;
 };
 
