--- a/src/policy/endpoint_table_test.cpp
+++ b/src/policy/endpoint_table_test.cpp
@@ -36,13 +36,13 @@
   EXPECT_EQ(endpoints.listed_count(), 2);
 }
 
-TEST(EndpointTable, ReportsRelistedEndpointsOnce) {
+TEST(EndpointTable, ReportsNewlyListedEndpointsOnce) {
   EndpointTable endpoints(kClassCount);
   Endpoint& endpoint = endpoints.find_or_add("a");
   set_health(endpoints, endpoint, Health::Healthy);
 
-  EXPECT_EQ(endpoints.take_relisted(), std::set<EndpointIndex>{endpoint.index});
-  EXPECT_EQ(endpoints.take_relisted(), std::set<EndpointIndex>{});
+  EXPECT_EQ(endpoints.take_newly_listed(), std::set<EndpointIndex>{endpoint.index});
+  EXPECT_EQ(endpoints.take_newly_listed(), std::set<EndpointIndex>{});
 }
 
 TEST(EndpointTable, ReusesTheSlotOfARemovedEndpoint) {
@@ -104,7 +104,7 @@
   EXPECT_EQ(endpoints.tracked(), std::set<EndpointIndex>{endpoint.index});
 }
 
-TEST(EndpointTable, UntrackedEndpointCountsAsNew) {
+TEST(EndpointTable, UntrackedEndpointIsTreatedAsNew) {
   EndpointTable endpoints(kClassCount);
   Endpoint& endpoint = endpoints.find_or_add("a");
   set_health(endpoints, endpoint, Health::Healthy);
