--- a/testing/faults/fault_injection.cpp
+++ b/testing/faults/fault_injection.cpp
@@ -1,33 +1,35 @@
-// Faults of the system's calls and steps of the wall clock, for tests only: a shared object that is preloaded
-// (LD_PRELOAD) into a program as it is. Nothing links it.
+// Fault injection for tests: makes system calls fail and steps the wall clock of an unmodified program, as a
+// shared library that is loaded with LD_PRELOAD. No program links it.
 //
-// PUFFINVANE_FAULTS holds a schedule; PUFFINVANE_FAULTS_FILE names a file that holds one more, which may be
-// replaced (write another and rename it) while the program runs: it is looked at on each call, and its rows
-// count anew from then on. PUFFINVANE_FAULTS_PLAYED names a file to which a line is added for each fault
-// played, "call what". A schedule that can't be read ends the program with status 97 and says why.
+// PUFFINVANE_FAULTS holds a schedule. PUFFINVANE_FAULTS_FILE names a file with a further schedule, which may
+// be replaced while the program runs (write another file and rename it): it is checked on each call, and the
+// counts of its rows restart when it changes. PUFFINVANE_FAULTS_PLAYED names a file to which a line "call
+// what" is appended for each injected fault. An invalid schedule ends the program with exit status 97 and a
+// message.
 //
-//   schedule := row { (";" | newline) row }         "#" begins a remark, to the end of its line
+//   schedule := row { (";" | newline) row }         "#" begins a comment, to the end of the line
 //   row      := call action { condition }  |  "clock" ("+" | "-") seconds [ "at=" seconds ]  |  "seed" number
 //   call     := socket connect accept bind listen send recv read write epoll_create epoll_ctl epoll_wait poll
 //               signalfd eventfd getsockopt setsockopt shutdown close open fcntl pipe
 //   action   := an errno by its name (ENOBUFS)       the call fails with it and does nothing else
-//             | "short=" bytes                       a read or write of at most so many bytes
-//             | "stall=" seconds                     the call is made, so much later
+//             | "short=" bytes                       the call transfers at most that many bytes
+//             | "stall=" seconds                     the call is delayed by that time
 //   condition:= "n=" number                          the n-th time only, counted from 1
 //             | "each=" number                       each n-th time
 //             | "from=" number | "to=" number        from the n-th on, up to the n-th (both included)
-//             | "odds=" share                        by chance, drawn from the seed and the time counted
+//             | "odds=" share                        with this probability, drawn from the seed and the count
 //             | "only=" (tcp | udp | unix | pipe | file | other)   descriptors (or new sockets) of that kind
 //
-// All conditions of a row have to hold; the first row that applies is played. A row counts the calls of its
-// name whose descriptor is of its kind. Names take in a family: accept4 is accept; sendto and sendmsg are
-// send, recvfrom and recvmsg recv; writev is write; ppoll poll; openat and fopen open. What the C library
-// calls within itself (stdio) is not seen. A close that fails has closed, as Linux has it. "short" spares
-// packets: the system cuts only streams, pipes and files.
+// All conditions of a row have to hold; the first row that applies is used. A row counts the calls of its
+// name whose descriptor is of its kind. Names include variants of a call: accept4 is accept; sendto and
+// sendmsg are send, recvfrom and recvmsg recv; writev is write; ppoll poll; openat and fopen open. Calls that
+// the C library makes internally (stdio) are not intercepted. A close that fails has closed the descriptor,
+// as on Linux. "short" does not apply to packets: the kernel shortens transfers only on streams, pipes and
+// files.
 //
-// A step of the clock moves CLOCK_REALTIME (clock_gettime, gettimeofday, time, timespec_get, and so
-// g_get_real_time) by so many seconds, which may have a fraction, from "at" seconds after the program's
-// start, or at once; all steps that are due add up. Monotonic clocks run on.
+// A clock step moves CLOCK_REALTIME (clock_gettime, gettimeofday, time, timespec_get, and so
+// g_get_real_time) by that many seconds, which may be a fraction, from "at" seconds after the start of the
+// program, or at once; all steps that are due add up. Monotonic clocks are not affected.
 //
 // Examples:   socket ENFILE n=4        send ENOBUFS each=9 only=tcp        recv short=1; send short=1
 //             connect EADDRNOTAVAIL odds=0.3; seed 7                      clock +3600 at=2; clock -7200 at=8
@@ -62,10 +64,10 @@
 
 namespace {
 
-constexpr std::size_t kMostRows = 64;
-constexpr std::size_t kMostText = 8192;  // bytes of a schedule's file
-constexpr std::size_t kMostParts = 64;   // of a message that is cut
-constexpr int kBadSchedule = 97;         // exit status
+constexpr std::size_t kMaxRows = 64;
+constexpr std::size_t kMaxScheduleBytes = 8192;  // longest schedule file, in bytes
+constexpr std::size_t kMaxMessageParts = 64;     // longer messages are not shortened
+constexpr int kInvalidScheduleExitCode = 97;     // of the process
 constexpr double kNanosecond = 1e-9;
 constexpr long kNanosecondsInSecond = 1'000'000'000;
 
@@ -144,27 +146,27 @@
 
 struct Action {
   int error = 0;
-  std::size_t most_bytes = 0;  // 0: not cut
-  double stall = 0;            // seconds
+  std::size_t max_bytes = 0;  // 0: no limit
+  double stall = 0;           // seconds
 };
 
 struct Row {
   Call call{};
   Action action;
-  std::uint64_t only_nth = 0, each = 0, from = 0, to = 0;  // 0: not asked for
+  std::uint64_t only_nth = 0, each = 0, from = 0, to = 0;  // 0: no condition
   double odds = 1;
   Kind kind = Kind::Any;
-  std::uint64_t counted = 0;
+  std::uint64_t call_count = 0;
 };
 
 struct ClockStep {
   double seconds = 0, at = 0;
 };
 
-// One text's rows.
+// The rows of one schedule.
 struct Schedule {
-  std::array<Row, kMostRows> rows;
-  std::array<ClockStep, kMostRows> steps;
+  std::array<Row, kMaxRows> rows;
+  std::array<ClockStep, kMaxRows> steps;
   std::size_t row_count = 0, step_count = 0;
   std::uint64_t seed = 1;
 };
@@ -175,15 +177,15 @@
   return double(now.tv_sec) + double(now.tv_nsec) * kNanosecond;
 }
 
-void say(std::string_view text) { syscall(SYS_write, STDERR_FILENO, text.data(), text.size()); }
+void write_to_stderr(std::string_view text) { syscall(SYS_write, STDERR_FILENO, text.data(), text.size()); }
 
-[[noreturn]] void refuse(std::string_view why, std::string_view what) {
-  say("faults: ");
-  say(why);
-  say(": ");
-  say(what);
-  say("\n");
-  _exit(kBadSchedule);
+[[noreturn]] void exit_with_error(std::string_view why, std::string_view what) {
+  write_to_stderr("faults: ");
+  write_to_stderr(why);
+  write_to_stderr(": ");
+  write_to_stderr(what);
+  write_to_stderr("\n");
+  _exit(kInvalidScheduleExitCode);
 }
 
 template <typename Number>
@@ -191,38 +193,38 @@
   if (text.starts_with('+')) text.remove_prefix(1);
   Number value{};
   auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (fault != std::errc() || end != text.data() + text.size()) refuse("not a number", text);
+  if (fault != std::errc() || end != text.data() + text.size()) exit_with_error("not a number", text);
   return value;
 }
 
 template <std::size_t N>
-std::optional<std::size_t> place(const std::string_view (&names)[N], std::string_view name) {
+std::optional<std::size_t> index_of(const std::string_view (&names)[N], std::string_view name) {
   auto found = std::find(std::begin(names), std::end(names), name);
   if (found == std::end(names)) return {};
   return std::size_t(found - std::begin(names));
 }
 
 Call call_named(std::string_view name) {
-  constexpr ErrorName kOther[] = {
+  constexpr ErrorName kVariants[] = {
       {"accept4", int(Call::Accept)}, {"sendto", int(Call::Send)},  {"sendmsg", int(Call::Send)},
       {"recvfrom", int(Call::Recv)},  {"recvmsg", int(Call::Recv)}, {"writev", int(Call::Write)},
       {"ppoll", int(Call::Poll)},     {"openat", int(Call::Open)},  {"epoll_create1", int(Call::EpollCreate)},
       {"pipe2", int(Call::Pipe)},     {"fopen", int(Call::Open)}};
-  if (auto known = place(kCalls, name)) return Call(*known);
-  for (const ErrorName& other : kOther) {
-    if (other.name == name) return Call(other.number);
+  if (auto known = index_of(kCalls, name)) return Call(*known);
+  for (const ErrorName& variant : kVariants) {
+    if (variant.name == name) return Call(variant.number);
   }
-  refuse("no call of that name", name);
+  exit_with_error("no call of that name", name);
 }
 
 int error_named(std::string_view name) {
-  for (const ErrorName& one : kErrors) {
-    if (one.name == name) return one.number;
+  for (const ErrorName& error : kErrors) {
+    if (error.name == name) return error.number;
   }
-  refuse("no error of that name", name);
+  exit_with_error("no error of that name", name);
 }
 
-// The next word of a row; empty at its end.
+// The next word of a row; empty at the end of the row.
 std::string_view next_word(std::string_view& row) {
   constexpr std::string_view kBlank = " \t\r";
   std::size_t begin = std::min(row.find_first_not_of(kBlank), row.size());
@@ -239,22 +241,23 @@
     return;
   }
   std::string_view name = word.substr(0, equals), value = word.substr(equals + 1);
-  if (name == "short") row.action.most_bytes = std::max<std::size_t>(1, number<std::size_t>(value));
+  if (name == "short") row.action.max_bytes = std::max<std::size_t>(1, number<std::size_t>(value));
   else if (name == "stall") row.action.stall = number<double>(value);
   else if (name == "n") row.only_nth = number<std::uint64_t>(value);
   else if (name == "each") row.each = number<std::uint64_t>(value);
   else if (name == "from") row.from = number<std::uint64_t>(value);
   else if (name == "to") row.to = number<std::uint64_t>(value);
   else if (name == "odds") row.odds = number<double>(value);
-  else if (auto kind = place(kKinds, value); name == "only" && kind)
+  else if (auto kind = index_of(kKinds, value); name == "only" && kind)
     row.kind = static_cast<Kind>(kind.value());
-  else refuse("no such condition", word);
+  else exit_with_error("no such condition", word);
 }
 
 void read_row(Schedule& schedule, std::string_view text) {
   std::string_view name = next_word(text);
   if (name.empty()) return;
-  if (schedule.row_count == kMostRows || schedule.step_count == kMostRows) refuse("too many rows", text);
+  if (schedule.row_count == kMaxRows || schedule.step_count == kMaxRows)
+    exit_with_error("too many rows", text);
   if (name == "seed") {
     schedule.seed = number<std::uint64_t>(next_word(text));
     return;
@@ -264,7 +267,7 @@
     step.seconds = number<double>(next_word(text));
     std::string_view at = next_word(text);
     if (at.starts_with("at=")) step.at = number<double>(at.substr(3));
-    else if (!at.empty()) refuse("no such condition", at);
+    else if (!at.empty()) exit_with_error("no such condition", at);
     return;
   }
   Row& row = schedule.rows[schedule.row_count++];
@@ -272,7 +275,8 @@
   for (std::string_view word = next_word(text); !word.empty(); word = next_word(text))
     read_condition(row, word);
   const Action& action = row.action;
-  if (!action.error && action.most_bytes == 0 && action.stall <= 0) refuse("a row without a fault", name);
+  if (!action.error && action.max_bytes == 0 && action.stall <= 0)
+    exit_with_error("a row without a fault", name);
 }
 
 Schedule read_schedule(std::string_view text) {
@@ -305,11 +309,11 @@
 }
 
 Kind kind_of(int descriptor) {
-  struct stat what {};
-  if (fstat(descriptor, &what) != 0) return Kind::Other;
-  if (S_ISFIFO(what.st_mode)) return Kind::Pipe;
-  if (S_ISREG(what.st_mode)) return Kind::File;
-  if (!S_ISSOCK(what.st_mode)) return Kind::Other;
+  struct stat status {};
+  if (fstat(descriptor, &status) != 0) return Kind::Other;
+  if (S_ISFIFO(status.st_mode)) return Kind::Pipe;
+  if (S_ISREG(status.st_mode)) return Kind::File;
+  if (!S_ISSOCK(status.st_mode)) return Kind::Other;
   return kind_of_socket(socket_option(descriptor, SO_DOMAIN), socket_option(descriptor, SO_TYPE));
 }
 
@@ -318,8 +322,8 @@
   return type < 0 || type == SOCK_STREAM;
 }
 
-// The same draw for the same seed, row and count, whatever the threads do.
-double drawn(std::uint64_t seed, std::uint64_t row, std::uint64_t count) {
+// A number in [0, 1) that depends only on the seed, the row and the count, and not on thread timing.
+double random_draw(std::uint64_t seed, std::uint64_t row, std::uint64_t count) {
   std::uint64_t mixed = seed * 0x9e3779b97f4a7c15u + row * 0xbf58476d1ce4e5b9u + count;
   mixed = (mixed ^ mixed >> 30) * 0xbf58476d1ce4e5b9u;
   mixed = (mixed ^ mixed >> 27) * 0x94d049bb133111ebu;
@@ -327,45 +331,45 @@
   return double(mixed >> 11) / double(1ull << 53);
 }
 
-bool applies(const Row& row, std::uint64_t seed, std::size_t place) {
-  const std::uint64_t count = row.counted;
+bool applies(const Row& row, std::uint64_t seed, std::size_t row_index) {
+  const std::uint64_t count = row.call_count;
   if (row.only_nth && count != row.only_nth) return false;
   if (row.each && count % row.each != 0) return false;
   if (row.from && count < row.from) return false;
   if (row.to && count > row.to) return false;
-  return row.odds >= 1 || drawn(seed, place, count) < row.odds;
+  return row.odds >= 1 || random_draw(seed, row_index, count) < row.odds;
 }
 
-class Faults {
+class FaultInjector {
  public:
   std::optional<Action> next(Call call, Kind kind) {
-    std::lock_guard held(lock_);
-    prepare();
-    std::optional<Action> played = next_of(given_, call, kind);
-    std::optional<Action> changed = next_of(in_file_, call, kind);
-    if (!played) played = changed;
-    if (played) note(call, *played);
-    return played;
+    std::lock_guard lock(lock_);
+    load_schedules();
+    std::optional<Action> action = next_of(from_environment_, call, kind);
+    std::optional<Action> changed = next_of(from_file_, call, kind);
+    if (!action) action = changed;
+    if (action) record_injected(call, *action);
+    return action;
   }
 
-  // Seconds that the wall clock is off by now.
+  // Seconds by which the wall clock is off now.
   double clock_step() {
-    std::lock_guard held(lock_);
-    prepare();
+    std::lock_guard lock(lock_);
+    load_schedules();
     double since = monotonic() - started_;
-    return step_of(given_, since) + step_of(in_file_, since);
+    return step_of(from_environment_, since) + step_of(from_file_, since);
   }
 
  private:
   static std::optional<Action> next_of(Schedule& schedule, Call call, Kind kind) {
-    std::optional<Action> played;
+    std::optional<Action> action;
     for (std::size_t i = 0; i < schedule.row_count; ++i) {
       Row& row = schedule.rows[i];
       if (row.call != call || (row.kind != Kind::Any && row.kind != kind)) continue;
-      ++row.counted;
-      if (!played && applies(row, schedule.seed, i)) played = row.action;
+      ++row.call_count;
+      if (!action && applies(row, schedule.seed, i)) action = row.action;
     }
-    return played;
+    return action;
   }
 
   static double step_of(const Schedule& schedule, double since) {
@@ -376,29 +380,29 @@
     return sum;
   }
 
-  void prepare() {
+  void load_schedules() {
     if (!started_) {
       started_ = monotonic();
-      if (const char* text = std::getenv("PUFFINVANE_FAULTS")) given_ = read_schedule(text);
-      file_ = std::getenv("PUFFINVANE_FAULTS_FILE");
-      played_ = std::getenv("PUFFINVANE_FAULTS_PLAYED");
+      if (const char* text = std::getenv("PUFFINVANE_FAULTS")) from_environment_ = read_schedule(text);
+      schedule_path_ = std::getenv("PUFFINVANE_FAULTS_FILE");
+      record_path_ = std::getenv("PUFFINVANE_FAULTS_PLAYED");
     }
-    if (file_) look_at_file();
+    if (schedule_path_) reload_changed_file();
   }
 
-  void look_at_file() {
-    struct stat there {};
-    if (fstatat(AT_FDCWD, file_, &there, 0) != 0) there = {};
-    bool same = there.st_ino == seen_.st_ino && there.st_size == seen_.st_size &&
-                there.st_mtim.tv_sec == seen_.st_mtim.tv_sec &&
-                there.st_mtim.tv_nsec == seen_.st_mtim.tv_nsec;
+  void reload_changed_file() {
+    struct stat current {};
+    if (fstatat(AT_FDCWD, schedule_path_, &current, 0) != 0) current = {};
+    bool same = current.st_ino == loaded_file_.st_ino && current.st_size == loaded_file_.st_size &&
+                current.st_mtim.tv_sec == loaded_file_.st_mtim.tv_sec &&
+                current.st_mtim.tv_nsec == loaded_file_.st_mtim.tv_nsec;
     if (same) return;
-    seen_ = there;
-    in_file_ = read_schedule(contents());
+    loaded_file_ = current;
+    from_file_ = read_schedule(read_file());
   }
 
-  std::string_view contents() {
-    long descriptor = syscall(SYS_openat, AT_FDCWD, file_, O_RDONLY | O_CLOEXEC);
+  std::string_view read_file() {
+    long descriptor = syscall(SYS_openat, AT_FDCWD, schedule_path_, O_RDONLY | O_CLOEXEC);
     if (descriptor < 0) return {};
     std::size_t size = 0;
     long got = 1;
@@ -410,15 +414,16 @@
     return {text_.data(), size};
   }
 
-  void note(Call call, const Action& action) const {
-    if (!played_) return;
+  void record_injected(Call call, const Action& action) const {
+    if (!record_path_) return;
     std::array<char, 64> line;
-    const char* what = action.most_bytes > 0 ? "short" : "stall";
-    for (const ErrorName& one : kErrors) {
-      if (action.error == one.number) what = one.name.data();
+    const char* what = action.max_bytes > 0 ? "short" : "stall";
+    for (const ErrorName& error : kErrors) {
+      if (action.error == error.number) what = error.name.data();
     }
     int size = std::snprintf(line.data(), line.size(), "%s %s\n", kCalls[std::size_t(call)].data(), what);
-    long descriptor = syscall(SYS_openat, AT_FDCWD, played_, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+    long descriptor =
+        syscall(SYS_openat, AT_FDCWD, record_path_, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     if (descriptor < 0) return;
     syscall(SYS_write, descriptor, line.data(), std::size_t(size));
     syscall(SYS_close, descriptor);
@@ -426,75 +431,75 @@
 
   std::mutex lock_;
   double started_ = 0;
-  Schedule given_, in_file_;
-  const char* file_ = nullptr;
-  const char* played_ = nullptr;
-  struct stat seen_ {};
-  std::array<char, kMostText> text_{};
+  Schedule from_environment_, from_file_;
+  const char* schedule_path_ = nullptr;
+  const char* record_path_ = nullptr;
+  struct stat loaded_file_ {};
+  std::array<char, kMaxScheduleBytes> text_{};
 };
 
-// Made before main, by the constant initializer: calls come before any constructor has run.
-constinit Faults faults;
+// Constant-initialized, because calls arrive before any constructor has run.
+constinit FaultInjector injector;
 
-void rest(double seconds) {
+void sleep_for(double seconds) {
   timespec left{time_t(seconds), long((seconds - double(time_t(seconds))) / kNanosecond)};
   while (syscall(SYS_clock_nanosleep, CLOCK_MONOTONIC, 0, &left, &left) != 0 && errno == EINTR) {
   }
 }
 
-// What is to happen to a call: true where it fails, with errno set; and how much of it goes through.
-struct Verdict {
+// What happens to a call: whether it fails, with errno set, and at most how many bytes it transfers.
+struct CallOutcome {
   bool fails = false;
-  std::size_t most_bytes = SIZE_MAX;
+  std::size_t max_bytes = SIZE_MAX;
 };
 
-Verdict judge(Call call, Kind kind) {
+CallOutcome inject(Call call, Kind kind) {
   const int before = errno;
-  std::optional<Action> played = faults.next(call, kind);
+  std::optional<Action> action = injector.next(call, kind);
   errno = before;
-  if (!played) return {};
-  if (played->stall > 0) rest(played->stall);
-  errno = played->error ? played->error : before;
-  return {played->error != 0, played->most_bytes ? played->most_bytes : SIZE_MAX};
+  if (!action) return {};
+  if (action->stall > 0) sleep_for(action->stall);
+  errno = action->error ? action->error : before;
+  return {action->error != 0, action->max_bytes ? action->max_bytes : SIZE_MAX};
 }
 
-Verdict judge(Call call, int descriptor) {
+CallOutcome inject(Call call, int descriptor) {
   const int before = errno;
   Kind kind = kind_of(descriptor);
   bool stream = is_stream(descriptor);
   errno = before;
-  Verdict verdict = judge(call, kind);
-  if (!stream) verdict.most_bytes = SIZE_MAX;
-  return verdict;
+  CallOutcome outcome = inject(call, kind);
+  if (!stream) outcome.max_bytes = SIZE_MAX;
+  return outcome;
 }
 
-// A message of which only so many bytes are named.
-class CutMessage {
+// A copy of a message header that covers at most that many bytes.
+class TruncatedMessage {
  public:
-  CutMessage(const msghdr& whole, std::size_t most) : cut_(whole) {
-    if (most == SIZE_MAX || whole.msg_iovlen > kMostParts) return;
+  TruncatedMessage(const msghdr& whole, std::size_t most) : message_(whole) {
+    if (most == SIZE_MAX || whole.msg_iovlen > kMaxMessageParts) return;
     std::size_t used = 0;
     for (; used < whole.msg_iovlen && most > 0; ++used) {
       parts_[used] = whole.msg_iov[used];
       parts_[used].iov_len = std::min(parts_[used].iov_len, most);
       most -= parts_[used].iov_len;
     }
-    cut_.msg_iov = parts_.data();
-    cut_.msg_iovlen = used;
+    message_.msg_iov = parts_.data();
+    message_.msg_iovlen = used;
   }
-  msghdr* get() { return &cut_; }
+  msghdr* get() { return &message_; }
 
  private:
-  msghdr cut_;
-  std::array<iovec, kMostParts> parts_;
+  msghdr message_;
+  std::array<iovec, kMaxMessageParts> parts_;
 };
 
-void shift(timespec& time) {
-  double step = faults.clock_step();
+void add_clock_step(timespec& time) {
+  double step = injector.clock_step();
   time_t whole = time_t(step);
-  long rest_of = long((step - double(whole)) / kNanosecond);
+  long nanoseconds = long((step - double(whole)) / kNanosecond);
   time.tv_sec += whole;
-  time.tv_nsec += rest_of;
+  time.tv_nsec += nanoseconds;
   if (time.tv_nsec >= kNanosecondsInSecond) {
     time.tv_nsec -= kNanosecondsInSecond;
     ++time.tv_sec;
@@ -508,20 +513,20 @@
 timespec wall_time() {
   timespec now{};
   syscall(SYS_clock_gettime, CLOCK_REALTIME, &now);
-  shift(now);
+  add_clock_step(now);
   return now;
 }
 
 bool needs_mode(int flags) { return (flags & O_CREAT) != 0 || (flags & O_TMPFILE) == O_TMPFILE; }
 
 int open_at(int folder, const char* path, int flags, mode_t mode) {
-  if (judge(Call::Open, Kind::File).fails) return -1;
+  if (inject(Call::Open, Kind::File).fails) return -1;
   return int(syscall(SYS_openat, folder, path, flags, mode));
 }
 
 using Opener = FILE* (*)(const char*, const char*);
 FILE* open_stream(const char* name, const char* path, const char* mode) {
-  if (judge(Call::Open, Kind::File).fails) return nullptr;
+  if (inject(Call::Open, Kind::File).fails) return nullptr;
   auto real = reinterpret_cast<Opener>(dlsym(RTLD_NEXT, name));
   return real(path, mode);
 }
@@ -532,59 +537,59 @@
 
 int socket(int domain, int type, int protocol) noexcept {
   Kind kind = kind_of_socket(domain, type & ~(SOCK_CLOEXEC | SOCK_NONBLOCK));
-  if (judge(Call::Socket, kind).fails) return -1;
+  if (inject(Call::Socket, kind).fails) return -1;
   return int(syscall(SYS_socket, domain, type, protocol));
 }
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  if (judge(Call::Connect, descriptor).fails) return -1;
+  if (inject(Call::Connect, descriptor).fails) return -1;
   return int(syscall(SYS_connect, descriptor, address, size));
 }
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  if (judge(Call::Accept, descriptor).fails) return -1;
+  if (inject(Call::Accept, descriptor).fails) return -1;
   return int(syscall(SYS_accept4, descriptor, address, size, flags));
 }
 int accept(int descriptor, sockaddr* address, socklen_t* size) {
   return accept4(descriptor, address, size, 0);
 }
 int bind(int descriptor, const sockaddr* address, socklen_t size) noexcept {
-  if (judge(Call::Bind, descriptor).fails) return -1;
+  if (inject(Call::Bind, descriptor).fails) return -1;
   return int(syscall(SYS_bind, descriptor, address, size));
 }
 int listen(int descriptor, int backlog) noexcept {
-  if (judge(Call::Listen, descriptor).fails) return -1;
+  if (inject(Call::Listen, descriptor).fails) return -1;
   return int(syscall(SYS_listen, descriptor, backlog));
 }
 
 ssize_t sendto(int descriptor, const void* bytes, std::size_t count, int flags, const sockaddr* to,
                socklen_t size) {
-  Verdict verdict = judge(Call::Send, descriptor);
-  if (verdict.fails) return -1;
-  return syscall(SYS_sendto, descriptor, bytes, std::min(count, verdict.most_bytes), flags, to, size);
+  CallOutcome outcome = inject(Call::Send, descriptor);
+  if (outcome.fails) return -1;
+  return syscall(SYS_sendto, descriptor, bytes, std::min(count, outcome.max_bytes), flags, to, size);
 }
 ssize_t send(int descriptor, const void* bytes, std::size_t count, int flags) {
   return sendto(descriptor, bytes, count, flags, nullptr, 0);
 }
 ssize_t sendmsg(int descriptor, const msghdr* message, int flags) {
-  Verdict verdict = judge(Call::Send, descriptor);
-  if (verdict.fails) return -1;
-  return syscall(SYS_sendmsg, descriptor, CutMessage(*message, verdict.most_bytes).get(), flags);
+  CallOutcome outcome = inject(Call::Send, descriptor);
+  if (outcome.fails) return -1;
+  return syscall(SYS_sendmsg, descriptor, TruncatedMessage(*message, outcome.max_bytes).get(), flags);
 }
 ssize_t recvfrom(int descriptor, void* bytes, std::size_t count, int flags, sockaddr* from, socklen_t* size) {
-  Verdict verdict = judge(Call::Recv, descriptor);
-  if (verdict.fails) return -1;
-  return syscall(SYS_recvfrom, descriptor, bytes, std::min(count, verdict.most_bytes), flags, from, size);
+  CallOutcome outcome = inject(Call::Recv, descriptor);
+  if (outcome.fails) return -1;
+  return syscall(SYS_recvfrom, descriptor, bytes, std::min(count, outcome.max_bytes), flags, from, size);
 }
 ssize_t recv(int descriptor, void* bytes, std::size_t count, int flags) {
   return recvfrom(descriptor, bytes, count, flags, nullptr, nullptr);
 }
 ssize_t recvmsg(int descriptor, msghdr* message, int flags) {
-  Verdict verdict = judge(Call::Recv, descriptor);
-  if (verdict.fails) return -1;
-  CutMessage cut(*message, verdict.most_bytes);
-  ssize_t got = syscall(SYS_recvmsg, descriptor, cut.get(), flags);
-  message->msg_namelen = cut.get()->msg_namelen;
-  message->msg_controllen = cut.get()->msg_controllen;
-  message->msg_flags = cut.get()->msg_flags;
+  CallOutcome outcome = inject(Call::Recv, descriptor);
+  if (outcome.fails) return -1;
+  TruncatedMessage truncated(*message, outcome.max_bytes);
+  ssize_t got = syscall(SYS_recvmsg, descriptor, truncated.get(), flags);
+  message->msg_namelen = truncated.get()->msg_namelen;
+  message->msg_controllen = truncated.get()->msg_controllen;
+  message->msg_flags = truncated.get()->msg_flags;
   return got;
 }
 ssize_t __recv_chk(int descriptor, void* bytes, std::size_t count, std::size_t, int flags) {
@@ -596,45 +601,45 @@
 }
 
 ssize_t read(int descriptor, void* bytes, std::size_t count) {
-  Verdict verdict = judge(Call::Read, descriptor);
-  if (verdict.fails) return -1;
-  return syscall(SYS_read, descriptor, bytes, std::min(count, verdict.most_bytes));
+  CallOutcome outcome = inject(Call::Read, descriptor);
+  if (outcome.fails) return -1;
+  return syscall(SYS_read, descriptor, bytes, std::min(count, outcome.max_bytes));
 }
 ssize_t __read_chk(int descriptor, void* bytes, std::size_t count, std::size_t) {
   return read(descriptor, bytes, count);
 }
 ssize_t write(int descriptor, const void* bytes, std::size_t count) {
-  Verdict verdict = judge(Call::Write, descriptor);
-  if (verdict.fails) return -1;
-  return syscall(SYS_write, descriptor, bytes, std::min(count, verdict.most_bytes));
+  CallOutcome outcome = inject(Call::Write, descriptor);
+  if (outcome.fails) return -1;
+  return syscall(SYS_write, descriptor, bytes, std::min(count, outcome.max_bytes));
 }
 ssize_t writev(int descriptor, const iovec* parts, int count) {
-  Verdict verdict = judge(Call::Write, descriptor);
-  if (verdict.fails) return -1;
+  CallOutcome outcome = inject(Call::Write, descriptor);
+  if (outcome.fails) return -1;
   msghdr whole{};
   whole.msg_iov = const_cast<iovec*>(parts);
   whole.msg_iovlen = std::size_t(count);
-  CutMessage cut(whole, verdict.most_bytes);
-  return syscall(SYS_writev, descriptor, cut.get()->msg_iov, cut.get()->msg_iovlen);
+  TruncatedMessage truncated(whole, outcome.max_bytes);
+  return syscall(SYS_writev, descriptor, truncated.get()->msg_iov, truncated.get()->msg_iovlen);
 }
 
 int epoll_create1(int flags) noexcept {
-  if (judge(Call::EpollCreate, Kind::Other).fails) return -1;
+  if (inject(Call::EpollCreate, Kind::Other).fails) return -1;
   return int(syscall(SYS_epoll_create1, flags));
 }
 int epoll_create(int) noexcept { return epoll_create1(0); }
 int epoll_ctl(int epoll, int what, int descriptor, epoll_event* event) noexcept {
-  if (judge(Call::EpollCtl, descriptor).fails) return -1;
+  if (inject(Call::EpollCtl, descriptor).fails) return -1;
   return int(syscall(SYS_epoll_ctl, epoll, what, descriptor, event));
 }
 int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
-  if (judge(Call::EpollWait, Kind::Other).fails) return -1;
+  if (inject(Call::EpollWait, Kind::Other).fails) return -1;
   return int(syscall(SYS_epoll_pwait, epoll, events, most, timeout, nullptr, sizeof(std::uint64_t)));
 }
 
 int ppoll(pollfd* descriptors, nfds_t count, const timespec* timeout, const sigset_t* mask) {
-  if (judge(Call::Poll, Kind::Other).fails) return -1;
-  timespec left = timeout ? *timeout : timespec{};  // the system writes what is left of it
+  if (inject(Call::Poll, Kind::Other).fails) return -1;
+  timespec left = timeout ? *timeout : timespec{};  // the kernel writes the remaining time to it
   return int(syscall(SYS_ppoll, descriptors, count, timeout ? &left : nullptr, mask, sizeof(std::uint64_t)));
 }
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
@@ -650,36 +655,36 @@
 }
 
 int signalfd(int descriptor, const sigset_t* mask, int flags) noexcept {
-  if (judge(Call::Signalfd, Kind::Other).fails) return -1;
+  if (inject(Call::Signalfd, Kind::Other).fails) return -1;
   return int(syscall(SYS_signalfd4, descriptor, mask, sizeof(std::uint64_t), flags));
 }
 int eventfd(unsigned first, int flags) noexcept {
-  if (judge(Call::Eventfd, Kind::Other).fails) return -1;
+  if (inject(Call::Eventfd, Kind::Other).fails) return -1;
   return int(syscall(SYS_eventfd2, first, flags));
 }
 int pipe2(int descriptors[2], int flags) noexcept {
-  if (judge(Call::Pipe, Kind::Pipe).fails) return -1;
+  if (inject(Call::Pipe, Kind::Pipe).fails) return -1;
   return int(syscall(SYS_pipe2, descriptors, flags));
 }
 int pipe(int descriptors[2]) noexcept { return pipe2(descriptors, 0); }
 
 int getsockopt(int descriptor, int level, int name, void* value, socklen_t* size) noexcept {
-  if (judge(Call::Getsockopt, descriptor).fails) return -1;
+  if (inject(Call::Getsockopt, descriptor).fails) return -1;
   return int(syscall(SYS_getsockopt, descriptor, level, name, value, size));
 }
 int setsockopt(int descriptor, int level, int name, const void* value, socklen_t size) noexcept {
-  if (judge(Call::Setsockopt, descriptor).fails) return -1;
+  if (inject(Call::Setsockopt, descriptor).fails) return -1;
   return int(syscall(SYS_setsockopt, descriptor, level, name, value, size));
 }
 int shutdown(int descriptor, int how) noexcept {
-  if (judge(Call::Shutdown, descriptor).fails) return -1;
+  if (inject(Call::Shutdown, descriptor).fails) return -1;
   return int(syscall(SYS_shutdown, descriptor, how));
 }
 int close(int descriptor) {
-  Verdict verdict = judge(Call::Close, descriptor);
+  CallOutcome outcome = inject(Call::Close, descriptor);
   const int error = errno;
   int closed = int(syscall(SYS_close, descriptor));
-  if (!verdict.fails) return closed;
+  if (!outcome.fails) return closed;
   errno = error;
   return -1;
 }
@@ -710,14 +715,14 @@
   va_start(more, what);
   void* argument = va_arg(more, void*);
   va_end(more);
-  if (judge(Call::Fcntl, descriptor).fails) return -1;
+  if (inject(Call::Fcntl, descriptor).fails) return -1;
   return int(syscall(SYS_fcntl, descriptor, what, argument));
 }
 int fcntl64(int descriptor, int what, ...) __attribute__((alias("fcntl")));
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
   int result = int(syscall(SYS_clock_gettime, clock, time));
-  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) shift(*time);
+  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) add_clock_step(*time);
   return result;
 }
 int gettimeofday(timeval* __restrict time, void* __restrict) noexcept {
--- a/testing/faults/faults.h
+++ b/testing/faults/faults.h
@@ -1,5 +1,5 @@
-// System calls that fail, for a program under test: what testing/faults plays in it, and what it has played.
-// The grammar of a schedule stands at the head of testing/faults/fault_injection.cpp.
+// Controls the faults that the library testing/faults injects into a program under test, and reads which were
+// injected. The syntax of a schedule is described at the top of testing/faults/fault_injection.cpp.
 #pragma once
 
 #include <unistd.h>
@@ -17,8 +17,8 @@
  public:
   using Environment = std::vector<std::pair<std::string, std::string>>;
 
-  // library: the path of libpuffinvane_faults.so. from_start: a schedule that holds from the first call on.
-  // Throws where there is no such library: the loader would go on without it, and nothing would be tested.
+  // library: the path of libpuffinvane_faults.so. from_start: a schedule that applies from the first call on.
+  // Throws if there is no such library: the loader would go on without it, and nothing would be tested.
   explicit Faults(std::string library, std::string from_start = "")
       : library_(std::move(library)),
         from_start_(std::move(from_start)),
@@ -33,7 +33,7 @@
     std::remove((file_ + ".played").c_str());
   }
 
-  // For the program, before it starts (SidecarProcess::Options::environment).
+  // To be set for the program before it starts (SidecarProcess::Options::environment).
   Environment environment() const {
     return {{"LD_PRELOAD", library_},
             {"PUFFINVANE_FAULTS", from_start_},
@@ -41,7 +41,8 @@
             {"PUFFINVANE_FAULTS_PLAYED", file_ + ".played"}};
   }
 
-  // Holds from the program's next call on, beside what holds from the start; counts begin anew.
+  // Replaces the changeable schedule, which applies from the next call of the program on, in addition to
+  // from_start; its counts restart.
   void change(const std::string& schedule) const {
     const std::string next = file_ + ".next";
     std::ofstream(next) << schedule;
@@ -49,7 +50,7 @@
   }
   void stop() const { change(""); }
 
-  // How many faults of that kind were played: "send ENOBUFS", "recv short", "write stall".
+  // How many faults of a kind were injected: "send ENOBUFS", "recv short", "write stall".
   int injected_count(const std::string& what) const {
     std::ifstream lines(file_ + ".played");
     int count = 0;
