--- a/tests/integration/admin_api.cpp
+++ b/tests/integration/admin_api.cpp
@@ -24,14 +24,14 @@
          "\r\n\r\n" + body;
 }
 int admin_call_status(const std::string& method, const std::string& path, const std::string& body = "") {
-  TestConnection line(kAdmin);
-  line.send_text(call(method, path, body));
-  return line.response_status();
+  TestConnection connection(kAdmin);
+  connection.send_text(call(method, path, body));
+  return connection.response_status();
 }
 std::string telemetry() {
-  TestConnection line(kAdmin);
-  line.send_text(call("GET", "/api/telemetry"));
-  auto answer = line.receive_message(HttpReader::Side::Response);
+  TestConnection connection(kAdmin);
+  connection.send_text(call("GET", "/api/telemetry"));
+  auto answer = connection.receive_message(HttpReader::Side::Response);
   return answer && answer->status == 200 ? answer->body.text() : "";
 }
 bool telemetry_shows(const std::string& line) {
@@ -80,9 +80,9 @@
   assert(admin_call_status("PUT", "/api/include", "stranger") == 404 &&
          admin_call_status("PUT", "/api/exclude", "") == 404);
   assert(admin_call_status("PUT", "/api/exclude", std::string(5000, 'a')) == 413);
-  TestConnection line(kAdmin);
-  line.send_text("nonsense\r\n\r\n");
-  assert(line.response_status() == 400);
+  TestConnection connection(kAdmin);
+  connection.send_text("nonsense\r\n\r\n");
+  assert(connection.response_status() == 400);
 }
 
 void incomplete_admin_requests_do_not_block_others() {
@@ -294,15 +294,15 @@
   constexpr double kPauseSeconds = 0.0002;  // seconds: keeps the head below the size limit
   AnsweringEndpoint endpoint(2);
   SidecarProcess sidecar(list_entry_json("a", endpoint.listener.address), with_admin());
-  TestConnection line(sidecar.listen);
+  TestConnection connection(sidecar.listen);
   const double began = now();
-  line.send_text("GET /read/a HTTP/1.1\r\nX-Correlation-Id: slow\r\nX-Rest: ");
-  while (!line.has_input_within(0) && now() < began + 2 * kMaxRejectionSeconds) {
-    line.send_text("x");
+  connection.send_text("GET /read/a HTTP/1.1\r\nX-Correlation-Id: slow\r\nX-Rest: ");
+  while (!connection.has_input_within(0) && now() < began + 2 * kMaxRejectionSeconds) {
+    connection.send_text("x");
     sleep_for(kPauseSeconds);
   }
   const double answered_after = now() - began;
-  const int status = line.response_status();
+  const int status = connection.response_status();
   std::printf("a head without a pause was answered %d after %.3f s\n", status, answered_after);
   std::fflush(stdout);
   assert(status == 408 && answered_after > kMaxHeadSeconds && answered_after < kMaxRejectionSeconds);
--- a/tests/integration/bulk.cpp
+++ b/tests/integration/bulk.cpp
@@ -44,8 +44,8 @@
   return "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 // Receives a complete message with a body of any length.
-std::optional<HttpMessage> receive_long_message(TestConnection& line, HttpReader::Side side) {
-  return line.receive_message(side, HttpReader::kMaxStreamedBodyBytes);
+std::optional<HttpMessage> receive_long_message(TestConnection& connection, HttpReader::Side side) {
+  return connection.receive_message(side, HttpReader::kMaxStreamedBodyBytes);
 }
 
 void long_response_is_streamed() {
@@ -59,7 +59,7 @@
     std::string all = "HTTP/1.1 200 OK\r\n" + framed(body, in_chunks, 50001);
     attempt.send_text(all.substr(0, 200000));
     assert(client.has_input_within(1));  // the first bytes arrive before the endpoint has sent the last
-    std::thread rest([&, &line = attempt] { assert(line.send_text(all.substr(200000))); });
+    std::thread rest([&, &connection = attempt] { assert(connection.send_text(all.substr(200000))); });
     auto answer = receive_long_message(client, HttpReader::Side::Response);
     rest.join();
     assert(answer && answer->status == 200 && answer->body.text() == body);
@@ -168,11 +168,11 @@
   std::vector<std::thread> all;
   std::thread accepts([&] {
     for (int i = 0; i < count; ++i) {
-      all.emplace_back([line = endpoint.accept_connection(), &piece]() mutable {
-        if (!line.receive_message(HttpReader::Side::Request)) return;
-        line.send_text("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kPieces * piece.size()) +
-                       "\r\n\r\n");
-        for (int k = 0; k < kPieces && line.send_text(piece);) ++k;
+      all.emplace_back([connection = endpoint.accept_connection(), &piece]() mutable {
+        if (!connection.receive_message(HttpReader::Side::Request)) return;
+        connection.send_text("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kPieces * piece.size()) +
+                             "\r\n\r\n");
+        for (int k = 0; k < kPieces && connection.send_text(piece);) ++k;
       });
     }
   });
--- a/tests/integration/clocks.cpp
+++ b/tests/integration/clocks.cpp
@@ -54,7 +54,7 @@
 
  private:
   struct Watcher {
-    TestConnection line;
+    TestConnection connection;
     int sent_index = 0;
   };
   void serve_lists() {
@@ -62,19 +62,20 @@
     while (!is_stopping_) {
       if (listener.has_connection_within(0.01)) {
         Watcher next{listener.accept_connection()};
-        if (!next.line.receive_message(HttpReader::Side::Request)) continue;
-        next.line.send_text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        if (!next.connection.receive_message(HttpReader::Side::Request)) continue;
+        next.connection.send_text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         watchers.push_back(std::move(next));
       }
       std::lock_guard lock(mutex_);
       for (Watcher& one : watchers) {
         if (one.sent_index == index_) continue;
-        one.line.send_text(http_chunk(R"({"index":)" + std::to_string(index_) +
-                                      R"(,"snapshot":true,"endpoints":[)" + entries_ + "]}\n"));
+        one.connection.send_text(http_chunk(R"({"index":)" + std::to_string(index_) +
+                                            R"(,"snapshot":true,"endpoints":[)" + entries_ + "]}\n"));
         one.sent_index = index_;
       }
-      std::erase_if(watchers,
-                    [](Watcher& one) { return one.line.has_input_within(0); });  // its connection has ended
+      std::erase_if(watchers, [](Watcher& one) {
+        return one.connection.has_input_within(0);
+      });  // its connection has ended
       sent_index_ = index_.load();
     }
   }
@@ -184,9 +185,9 @@
     double started = now();
     SidecarProcess successor(fixture.entries(), fixture.options(stepped, 1));
     auto ready = [] {
-      TestConnection line(loopback_address(5) + ":5101");
-      return line.connected && line.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
-             line.response_status() == 200;
+      TestConnection connection(loopback_address(5) + ":5101");
+      return connection.connected && connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
+             connection.response_status() == 200;
     };
     for (double until = now() + 6; !ready(); sleep_for(0.01)) assert(now() < until);
     predecessor.terminate();
--- a/tests/integration/crossings.cpp
+++ b/tests/integration/crossings.cpp
@@ -38,7 +38,8 @@
   TestConnection client(sidecar.listen);
   client.send_text(post_request("x"));
   auto [attempt, request] = endpoint.accept_request();
-  sidecar.while_stopped([&line = attempt] { line.send_text("HTTP/1.1 200 OK\r\n\r\npart"), line.reset(); });
+  sidecar.while_stopped(
+      [&connection = attempt] { connection.send_text("HTTP/1.1 200 OK\r\n\r\npart"), connection.reset(); });
   assert(client.response_status() == 502);
 }
 
@@ -100,8 +101,8 @@
     assert(now() < until);
   bool first = one.has_connection_within(0);
   auto [attempt, request] = (first ? one : other).accept_request();
-  sidecar.while_stopped([&, &line = attempt] {
-    line.send_text("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+  sidecar.while_stopped([&, &connection = attempt] {
+    connection.send_text("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     client.disconnect();
   });
   assert(!(first ? other : one).has_connection_within(0.3) && !attempt.has_input_within(0));
@@ -594,9 +595,9 @@
   SnapshotDiscovery snapshots(discovery, entries);
   SidecarProcess sidecar(entries, options);
   auto order = [&](const std::string& what) {
-    TestConnection line(options.admin);
-    line.send_text("PUT /api/" + what + " HTTP/1.1\r\nContent-Length: 1\r\n\r\na");
-    return line.response_status() == 200;
+    TestConnection connection(options.admin);
+    connection.send_text("PUT /api/" + what + " HTTP/1.1\r\nContent-Length: 1\r\n\r\na");
+    return connection.response_status() == 200;
   };
   assert(order("exclude") && order("include"));
   snapshots.wait_for_more(2);
--- a/tests/integration/fleet_processes.cpp
+++ b/tests/integration/fleet_processes.cpp
@@ -187,9 +187,9 @@
     std::vector<double> elapsed_s;
     for (double until = now() + 2; now() < until; sleep_for(0.005)) {
       double from = now();
-      TestConnection line(one.listener());
-      line.send_text("GET /healthz HTTP/1.1\r\n\r\n");
-      assert(line.response_status() == 200);
+      TestConnection connection(one.listener());
+      connection.send_text("GET /healthz HTTP/1.1\r\n\r\n");
+      assert(connection.response_status() == 200);
       elapsed_s.push_back(now() - from);
     }
     std::sort(elapsed_s.begin(), elapsed_s.end());
--- a/tests/integration/fleet_sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -41,9 +41,9 @@
   std::string prefix = "t" + std::to_string(++phase_number) + "x";
   for (int i = first_sidecar * kClients; i < kSidecars * kClients; ++i) {
     clients.emplace_back([&, to = fleet.all[std::size_t(i / kClients)].listener()] {
-      for (TestConnection line(to); !over; sleep_for(0.002)) {
-        line.send_text(get_request("", prefix + std::to_string(++ids)));
-        auto answer = line.receive_message(HttpReader::Side::Response);
+      for (TestConnection connection(to); !over; sleep_for(0.002)) {
+        connection.send_text(get_request("", prefix + std::to_string(++ids)));
+        auto answer = connection.receive_message(HttpReader::Side::Response);
         lost_requests += !answer || answer->status != 200;
         if (!answer) return;
       }
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -39,9 +39,9 @@
     }
   }
   int ask_admin(const std::string& path) const {
-    TestConnection line(loopback_address(3) + ":5003");
-    line.send_text("GET " + path + " HTTP/1.1\r\n\r\n");
-    return line.response_status();
+    TestConnection connection(loopback_address(3) + ":5003");
+    connection.send_text("GET " + path + " HTTP/1.1\r\n\r\n");
+    return connection.response_status();
   }
 
   AnsweringEndpoint endpoint_{2};
@@ -82,11 +82,11 @@
 }
 
 TEST_F(FullLogPipe, DroppedLinesAreCountedInTelemetry) {
-  TestConnection line(loopback_address(3) + ":5003");
+  TestConnection connection(loopback_address(3) + ":5003");
 
-  line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+  connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
 
-  std::optional<HttpMessage> answer = line.receive_message(HttpReader::Side::Response);
+  std::optional<HttpMessage> answer = connection.receive_message(HttpReader::Side::Response);
   ASSERT_TRUE(answer);
   EXPECT_NE(answer->body.text().find("\nsidecar_log_lines_dropped_total 0\n"), std::string::npos)
       << answer->body.text();
--- a/tests/integration/production.cpp
+++ b/tests/integration/production.cpp
@@ -142,9 +142,9 @@
   SidecarProcess successor(list_entry_json("a", silent.address), second);
   TestConnection other = open_watch(discovery, list_of(8, list_entry_json("a", silent.address)));
   auto ready = [&] {
-    TestConnection line(second.admin);
-    return line.connected && line.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
-           line.response_status() == 200;
+    TestConnection connection(second.admin);
+    return connection.connected && connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
+           connection.response_status() == 200;
   };
   for (double until = now() + 5; !ready(); sleep_for(0.01)) assert(now() < until);
   sleep_for(0.1);
@@ -177,11 +177,11 @@
   double last = now();
   for (double until = now() + seconds; now() < until;) {
     if (!discovery.has_connection_within(0.02)) continue;
-    TestConnection line = discovery.accept_connection();
+    TestConnection connection = discovery.accept_connection();
     statistics.longest_pause = std::max(statistics.longest_pause, now() - last);
     last = now();
     ++statistics.calls;
-    if (!act(line)) silent.push_back(std::move(line));
+    if (!act(connection)) silent.push_back(std::move(connection));
   }
   return statistics;
 }
@@ -202,8 +202,8 @@
     SidecarProcess::Options options;
     options.discovery_mode = outage.discovery_mode;
     SidecarProcess sidecar(list_entry_json("a", endpoint.address), options);
-    auto act = [&](TestConnection& line) {
-      if (outage.refuses) line.reset();
+    auto act = [&](TestConnection& connection) {
+      if (outage.refuses) connection.reset();
       return outage.refuses;
     };
     count_calls(sidecar.discovery(), 3, act);  // the first pauses are shorter
@@ -231,8 +231,8 @@
     SidecarProcess::Options options;
     options.discovery_mode = registry;
     SidecarProcess sidecar(list_entry_json("a", endpoint.address), options);
-    count_calls(sidecar.discovery(), 3, [](TestConnection& line) {
-      line.reset();
+    count_calls(sidecar.discovery(), 3, [](TestConnection& connection) {
+      connection.reset();
       return true;
     });
     sidecar.write_configuration(moved.address);
@@ -378,10 +378,10 @@
   TestConnection first(sidecar.listen), second(sidecar.listen);
   first.send_text(get_request("", "1"));
   auto [attempt, request] = old.accept_request();
-  sidecar.while_stopped([&, &line = attempt] {
+  sidecar.while_stopped([&, &connection = attempt] {
     watch.send_text(list_of(
         9, list_entry_json("a", old.address, "leaving") + "," + list_entry_json("b", fresh.address), false));
-    line.send_text("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+    connection.send_text("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     second.send_text(get_request("", "2"));
     sleep_for(kMaxStallSeconds);
   });
--- a/tests/integration/restart_soak.cpp
+++ b/tests/integration/restart_soak.cpp
@@ -249,18 +249,18 @@
   }
 
   int call_admin(int number, const std::string& path) const {
-    TestConnection line(admin(number));
-    if (!line.connected) return 0;
-    line.send_text("PUT " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    return line.response_status();
+    TestConnection connection(admin(number));
+    if (!connection.connected) return 0;
+    connection.send_text("PUT " + path + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    return connection.response_status();
   }
 
   void start_successor() {
     successor_ = std::make_unique<SidecarProcess>(entries_, options(1));
     auto is_ready = [this] {
-      TestConnection line(admin(1));
-      return line.connected && line.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
-             line.response_status() == 200;
+      TestConnection connection(admin(1));
+      return connection.connected && connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
+             connection.response_status() == 200;
     };
     for (double until = now() + 5; !is_ready() && now() < until;) sleep_for(0.01);
   }
--- a/tests/integration/serving.cpp
+++ b/tests/integration/serving.cpp
@@ -275,9 +275,9 @@
       TestConnection client(running.listen);
       client.send_text(get_request("", std::to_string(1000 + i)));
       bool one = first.has_connection_within(0.05) || !second.has_connection_within(3);
-      auto [line, request] = (one ? first : second).accept_request();
-      if (i % 3) line.send_text(ok_response("yes"));
-      else line.send_text(kRejectedResponse);
+      auto [connection, request] = (one ? first : second).accept_request();
+      if (i % 3) connection.send_text(ok_response("yes"));
+      else connection.send_text(kRejectedResponse);
       if (i % 3 == 0) (one ? second : first).accept_request().first.send_text(ok_response("yes"));
       assert(client.response_status() == 200);
     }
@@ -653,8 +653,8 @@
     list += (i ? "," : "") + list_entry_json("e" + std::to_string(i), endpoints.back()->address);
   }
   SidecarProcess sidecar(list, R"({"sockets":80,"memory_mb":64})");
-  auto asked = [&](TestConnection& line) {
-    return line.has_input_within(0) && line.receive_message(HttpReader::Side::Request);
+  auto asked = [&](TestConnection& connection) {
+    return connection.has_input_within(0) && connection.receive_message(HttpReader::Side::Request);
   };
   auto attempted = [&](double within) -> TestConnection* {
     for (double until = now() + within; now() < until;) {
--- a/tests/integration/site_serving.cpp
+++ b/tests/integration/site_serving.cpp
@@ -143,11 +143,11 @@
           lines_.emplace_back(i, listeners_[i]->accept_connection());
       }
       for (std::size_t i = 0; i < lines_.size();) {
-        auto& [of, line] = lines_[i];
+        auto& [of, connection] = lines_[i];
         bool over = false;
-        if (line.has_input_within(0)) {
-          over = !line.receive_message(HttpReader::Side::Request);
-          if (!over) line.send_text(answer("200 OK", "x")), ++delivered[of];
+        if (connection.has_input_within(0)) {
+          over = !connection.receive_message(HttpReader::Side::Request);
+          if (!over) connection.send_text(answer("200 OK", "x")), ++delivered[of];
         }
         over ? void(lines_.erase(lines_.begin() + std::ptrdiff_t(i))) : void(++i);
       }
@@ -156,7 +156,7 @@
     return client.response_status();
   }
   void disconnect() { lines_.clear(); }
-  void adopt(TestConnection line) { lines_.emplace_back(0, std::move(line)); }
+  void adopt(TestConnection connection) { lines_.emplace_back(0, std::move(connection)); }
 
  private:
   std::vector<Listener*> listeners_;
--- a/tests/integration/slow_reader_test.cpp
+++ b/tests/integration/slow_reader_test.cpp
@@ -22,9 +22,9 @@
     sidecar_ = std::make_unique<SidecarProcess>(list_entry_json("a", endpoint_.address), options);
   }
   void evacuate() const {
-    TestConnection line(loopback_address(3) + ":5003");
-    line.send_text("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(line.response_status(), 200);
+    TestConnection connection(loopback_address(3) + ":5003");
+    connection.send_text("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(connection.response_status(), 200);
   }
   // Asks, has the endpoint answer after a while, and sends another request while the answer lies unread.
   void ask_and_send_more(TestConnection& client, double response_time_s) {
--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -64,9 +64,9 @@
   // How many endpoints the sidecar considers unhealthy.
   int unhealthy_count() const {
     const std::string name = "\nsidecar_cluster_unhealthy ";
-    TestConnection line(admin_of(0));
-    line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.receive_message(HttpReader::Side::Response);
+    TestConnection connection(admin_of(0));
+    connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+    auto answer = connection.receive_message(HttpReader::Side::Response);
     assert(answer);
     const std::string text = answer->body.text();
     return std::stoi(text.substr(text.find(name) + name.size()));
@@ -353,10 +353,10 @@
 // ---- takeover
 
 bool ready(int number) {
-  TestConnection line(admin_of(number));
-  if (!line.connected) return false;
-  line.send_text("GET /api/ready HTTP/1.1\r\n\r\n");
-  return line.response_status() == 200;
+  TestConnection connection(admin_of(number));
+  if (!connection.connected) return false;
+  connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n");
+  return connection.response_status() == 200;
 }
 
 // Idle client connections go over to the successor, which serves the next request on each of them.
--- a/tests/integration/upgrade.cpp
+++ b/tests/integration/upgrade.cpp
@@ -30,11 +30,11 @@
 }
 int admin_call_status(int number, const std::string& method, const std::string& path,
                       const std::string& body = "") {
-  TestConnection line(admin_of(number));
-  if (!line.connected) return 0;
-  line.send_text(method + " " + path + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) +
-                 "\r\n\r\n" + body);
-  return line.response_status();
+  TestConnection connection(admin_of(number));
+  if (!connection.connected) return 0;
+  connection.send_text(method + " " + path + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) +
+                       "\r\n\r\n" + body);
+  return connection.response_status();
 }
 void wait_ready(int number) {
   for (double until = now() + 6; admin_call_status(number, "GET", "/api/ready") != 200; sleep_for(0.01))
@@ -49,15 +49,15 @@
   // keeps_connection: use one connection for all requests, else a new one for each.
   void add_client(const std::string& to, int client, bool keeps_connection) {
     clients.emplace_back([this, to, client, keeps_connection] {
-      std::optional<TestConnection> line;
+      std::optional<TestConnection> connection;
       for (int i = 0; !is_over; ++i) {
-        if (!line || !keeps_connection) line.emplace(to);
-        if (!line->connected) ++lost, line.reset();
-        if (!line) continue;
-        line->send_text(get_request("", std::to_string(client) + "x" + std::to_string(i)));
-        auto answer = line->receive_message(HttpReader::Side::Response);
-        if (!answer || answer->status != 200) ++lost, line.reset();
-        else if (++served; !answer->keep_alive) ++closed, line.reset();
+        if (!connection || !keeps_connection) connection.emplace(to);
+        if (!connection->connected) ++lost, connection.reset();
+        if (!connection) continue;
+        connection->send_text(get_request("", std::to_string(client) + "x" + std::to_string(i)));
+        auto answer = connection->receive_message(HttpReader::Side::Response);
+        if (!answer || answer->status != 200) ++lost, connection.reset();
+        else if (++served; !answer->keep_alive) ++closed, connection.reset();
         sleep_for(0.002);
       }
     });
@@ -142,9 +142,9 @@
   for (AnsweringEndpoint& one : answers)
     known += "," + list_entry_json(one.listener.address, one.listener.address);
   auto avoids_one = [](int number) {
-    TestConnection line(admin_of(number));
-    line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.receive_message(HttpReader::Side::Response);
+    TestConnection connection(admin_of(number));
+    connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+    auto answer = connection.receive_message(HttpReader::Side::Response);
     return answer && answer->body.text().find("\nsidecar_cluster_unhealthy 1\n") != std::string::npos;
   };
   SidecarProcess predecessor(known, options(0, discovery));
@@ -166,9 +166,9 @@
                             "127.200." + std::to_string(i / 200) + "." + std::to_string(i % 200 + 1) + ":1") +
             ",";
   auto metric = [](int number, const std::string& name) {
-    TestConnection line(admin_of(number));
-    line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.receive_message(HttpReader::Side::Response);
+    TestConnection connection(admin_of(number));
+    connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+    auto answer = connection.receive_message(HttpReader::Side::Response);
     std::string text = answer ? answer->body.text() : "";
     std::size_t at = text.find("\nsidecar_" + name + " ");
     return at == std::string::npos ? -1 : std::atoi(text.c_str() + at + name.size() + 10);
