--- a/tests/integration/admin_api.cpp
+++ b/tests/integration/admin_api.cpp
@@ -90,8 +90,8 @@
   SidecarProcess sidecar(list_entry_json("a", endpoint.address), with_admin());
   std::vector<TestConnection> holding;
   for (int i = 0; i < 60; ++i) holding.emplace_back(kAdmin).send_text("PUT /api/excl");
-  double asked = now();
-  assert(admin_call_status("GET", "/api/ready") == 200 && now() - asked < 0.9);
+  double started_at = now();
+  assert(admin_call_status("GET", "/api/ready") == 200 && now() - started_at < 0.9);
 }
 
 void excluded_endpoint_gets_no_requests_until_included() {
@@ -129,14 +129,15 @@
   std::vector<std::pair<bool, TestConnection>>
       lines;  // first: whether the connection is to the included endpoint
   lines.emplace_back(false, std::move(*kept));
-  bool back = false;
-  TestConnection beside(sidecar.listen);  // two at a time, so that the second finds the other endpoint busy
+  bool is_used_again = false;
+  TestConnection second_client(
+      sidecar.listen);  // two at a time, so that the second finds the other endpoint busy
   int requests = 0;
-  for (double until = now() + 5; !back && now() < until;) {
+  for (double until = now() + 5; !is_used_again && now() < until;) {
     std::string id = "n" + std::to_string(++requests);
     wait_until_reusable();
-    client.send_text(get_request("", id)), beside.send_text(get_request("", id + "b"));
-    while (!client.has_input_within(0) || !beside.has_input_within(0)) {
+    client.send_text(get_request("", id)), second_client.send_text(get_request("", id + "b"));
+    while (!client.has_input_within(0) || !second_client.has_input_within(0)) {
       if (first.has_connection_within(0)) lines.emplace_back(true, first.accept_connection());
       if (second.has_connection_within(0)) lines.emplace_back(false, second.accept_connection());
       for (std::size_t i = 0; i < lines.size();) {
@@ -145,15 +146,15 @@
           ++i;
           continue;
         }
-        bool asked = line.receive_message(HttpReader::Side::Request) &&
-                     line.send_text(ok_response("c"));  // or the attempt was cancelled
-        back |= asked && there;
-        asked ? void(++i) : void(lines.erase(lines.begin() + std::ptrdiff_t(i)));
+        bool got_request = line.receive_message(HttpReader::Side::Request) &&
+                           line.send_text(ok_response("c"));  // or the attempt was cancelled
+        is_used_again |= got_request && there;
+        got_request ? void(++i) : void(lines.erase(lines.begin() + std::ptrdiff_t(i)));
       }
     }
-    assert(client.response_status() == 200 && beside.response_status() == 200);
+    assert(client.response_status() == 200 && second_client.response_status() == 200);
   }
-  assert(back);
+  assert(is_used_again);
   // The override is obeyed even if no endpoint is left.
   assert(admin_call_status("PUT", "/api/exclude", "a") == 200 &&
          admin_call_status("PUT", "/api/exclude", "b") == 200);
@@ -183,8 +184,8 @@
   assert(admin_call_status("PUT", "/api/rejoin") == 200 && admin_call_status("PUT", "/api/rejoin") == 200);
   TestConnection again(sidecar.listen);
   again.send_text("GET /healthz HTTP/1.1\r\n\r\n");
-  auto yes = again.receive_message(HttpReader::Side::Response);
-  assert(yes && yes->status == 200 && yes->keep_alive && !again.has_input_within(1.5));
+  auto response = again.receive_message(HttpReader::Side::Response);
+  assert(response && response->status == 200 && response->keep_alive && !again.has_input_within(1.5));
 }
 
 // A client that sends its request head in pieces, from its own thread.
@@ -255,15 +256,15 @@
     }
     for (int k = 0; k < 4; ++k) crowd.emplace_back(kAdmin).send_text("PUT /api/excl");
     for (int k = 0; k < 40; ++k) {
-      double asked = now();
+      double started_at = now();
       assert(k % 2 ? admin_call_status("GET", "/api/ready") == 200
                    : admin_call_status("GET", "/api/telemetry") == 200);
-      durations_s.push_back(now() - asked);
+      durations_s.push_back(now() - started_at);
     }
-    double asked = now();
+    double started_at = now();
     TestConnection client(sidecar.listen);
     client.send_text(get_request("", "n" + std::to_string(i)));
-    assert(client.response_status() == 200 && now() - asked < 1);
+    assert(client.response_status() == 200 && now() - started_at < 1);
     sleep_for(0.1);
     assert(is_served(slow));
   }
--- a/tests/integration/clients.cpp
+++ b/tests/integration/clients.cpp
@@ -21,8 +21,8 @@
 
 // Seconds from `since` until the client receives data or the end of its connection.
 double seconds_until_input(TestConnection& downstream, double since) {
-  bool heard = downstream.has_input_within(since + 4 - now());
-  assert(heard);
+  bool has_input = downstream.has_input_within(since + 4 - now());
+  assert(has_input);
   return now() - since;
 }
 
@@ -44,14 +44,14 @@
     clients.emplace_back(sidecar.listen);
     clients.back().send_text(form);
   }
-  TestConnection resting(sidecar.listen);
-  resting.send_text("GET /healthz HTTP/1.1\r\n\r\n");
-  assert(resting.response_status() == 200);
-  resting.send_text("GET /read HT");
+  TestConnection idle(sidecar.listen);
+  idle.send_text("GET /healthz HTTP/1.1\r\n\r\n");
+  assert(idle.response_status() == 200);
+  idle.send_text("GET /read HT");
   double stopped = now();
   for (TestConnection& downstream : clients)
     assert(seconds_until_input(downstream, stopped) < kRejectionLimitSeconds - kStallMarginSeconds);
-  assert(seconds_until_input(resting, stopped) < kRejectionLimitSeconds - kStallMarginSeconds);
+  assert(seconds_until_input(idle, stopped) < kRejectionLimitSeconds - kStallMarginSeconds);
 }
 
 void client_that_sends_its_head_in_two_seconds_is_served() {
@@ -59,10 +59,10 @@
   SidecarProcess sidecar(list_entry_json("a", endpoint.address));
   TestConnection downstream(sidecar.listen);
   const std::string request = get_request();
-  double begun = now();
+  double started_at = now();
   for (std::size_t i = 0; i < request.size(); ++i) {
     downstream.send_text(request.substr(i, 1));
-    sleep_for(begun + kSlowHeadSeconds * double(i + 1) / double(request.size()) - now());
+    sleep_for(started_at + kSlowHeadSeconds * double(i + 1) / double(request.size()) - now());
   }
   endpoint.accept_request().first.send_text(ok_response("x"));
   assert(downstream.response_status() == 200);
@@ -185,12 +185,12 @@
     assert(closes_without_reading(fresh));
   }
   SidecarProcess sidecar(list_entry_json("a", endpoint.address));
-  TestConnection resting(sidecar.listen), fresh(sidecar.listen);
-  resting.send_text("GET /healthz HTTP/1.1\r\n\r\n");
-  assert(resting.response_status() == 200);
+  TestConnection idle(sidecar.listen), fresh(sidecar.listen);
+  idle.send_text("GET /healthz HTTP/1.1\r\n\r\n");
+  assert(idle.response_status() == 200);
   sidecar.terminate();
   std::thread other([&] { assert(closes_without_reading(fresh)); });
-  assert(closes_without_reading(resting));
+  assert(closes_without_reading(idle));
   other.join();
   assert(!endpoint.has_connection_within(0));
 }
--- a/tests/integration/crossings.cpp
+++ b/tests/integration/crossings.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-std::string list_of(int index, const std::string& entries, bool whole = true) {
-  return http_chunk(R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" + (whole ? "true" : "false") +
-                    R"(,"endpoints":[)" + entries + "]}\n");
+std::string list_line(int index, const std::string& entries, bool is_snapshot = true) {
+  return http_chunk(R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" +
+                    (is_snapshot ? "true" : "false") + R"(,"endpoints":[)" + entries + "]}\n");
 }
 const std::string kChunkedResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -192,13 +192,13 @@
   SidecarProcess sidecar(list_entry_json("a", endpoint.address),
                          SidecarProcess::Options{.connect_timeout = "0.6"});
   TestConnection client(sidecar.listen);
-  double begun = now();
+  double started_at = now();
   client.send_text(post_request("x"));
   sleep_for(0.1);
   endpoint.accept_connection();
   auto [attempt, request] = endpoint.accept_request();
   attempt.send_text(ok_response("x"));
-  assert(client.response_status() == 200 && now() - begun < 0.55);
+  assert(client.response_status() == 200 && now() - started_at < 0.55);
 }
 
 // A connection that is established after its endpoint was listed as leaving carries no request.
@@ -209,9 +209,9 @@
   options.discovery = &discovery, options.discovery_mode = "on_request";
   SidecarProcess sidecar(list_entry_json("a", endpoint.address), options);
   TestConnection watch = discovery.accept_request().first;
-  watch.send_text(kChunkedResponseHead + list_of(8, list_entry_json("a", endpoint.address)));
+  watch.send_text(kChunkedResponseHead + list_line(8, list_entry_json("a", endpoint.address)));
   assert(sidecar.status_of(post_request("x")) == 503);
-  watch.send_text(list_of(9, list_entry_json("a", endpoint.address, "leaving"), false));
+  watch.send_text(list_line(9, list_entry_json("a", endpoint.address, "leaving"), false));
   sleep_for(0.05);
   endpoint.accept_connection();
   assert(!endpoint.has_connection_within(1.2) || endpoint.accept_connection().ends_within(0.2));
@@ -284,7 +284,7 @@
     watch = sidecar.discovery()
                 .accept_request()
                 .first;  // the sidecar had given up this call before the test accepted it
-  watch.send_text(kChunkedResponseHead + list_of(8, list_entry_json("a", old.address)));
+  watch.send_text(kChunkedResponseHead + list_line(8, list_entry_json("a", old.address)));
   double changed = now();
   assert(request_reaches(old, sidecar, "1"));
   while (!sidecar.discovery().has_connection_within(0.2) && now() < changed + 6)
@@ -296,8 +296,8 @@
   }
   sidecar.discovery().accept_request().first.reset();
   TestConnection last = sidecar.discovery().accept_request().first;
-  last.send_text(kChunkedResponseHead + list_of(9, list_entry_json("a", old.address, "leaving") + "," +
-                                                       list_entry_json("b", fresh.address)));
+  last.send_text(kChunkedResponseHead + list_line(9, list_entry_json("a", old.address, "leaving") + "," +
+                                                         list_entry_json("b", fresh.address)));
   sleep_for(0.05);
   assert(now() - changed < 6 && request_reaches(fresh, sidecar, "2") && !old.has_connection_within(0));
 }
@@ -308,14 +308,14 @@
   SidecarProcess sidecar(list_entry_json("a", endpoint.address),
                          SidecarProcess::Options{.discovery_mode = "on_request"});
   TestConnection watch = sidecar.discovery().accept_request().first;
-  watch.send_text(kChunkedResponseHead + list_of(5, list_entry_json("b", other.address), false));
+  watch.send_text(kChunkedResponseHead + list_line(5, list_entry_json("b", other.address), false));
   assert(watch.ends_within(1));
   auto [again, text] = sidecar.discovery().accept_request();
   assert(text.target.ends_with("after=0"));
-  again.send_text(kChunkedResponseHead + list_of(1, ""));
+  again.send_text(kChunkedResponseHead + list_line(1, ""));
   assert(again.ends_within(1) && request_reaches(endpoint, sidecar, "1") && !other.has_connection_within(0));
-  TestConnection whole = sidecar.discovery().accept_request().first;
-  whole.send_text(kChunkedResponseHead + list_of(3, list_entry_json("b", other.address)));
+  TestConnection last_watch = sidecar.discovery().accept_request().first;
+  last_watch.send_text(kChunkedResponseHead + list_line(3, list_entry_json("b", other.address)));
   sleep_for(0.05);
   assert(request_reaches(other, sidecar, "2") && !endpoint.has_connection_within(0));
 }
@@ -328,8 +328,8 @@
   std::thread answers([&] {
     TestConnection watch = discovery.accept_request().first;
     sleep_for(0.1);
-    watch.send_text(kChunkedResponseHead + list_of(8, list_entry_json("a", old.address, "leaving") + "," +
-                                                          list_entry_json("b", fresh.address)));
+    watch.send_text(kChunkedResponseHead + list_line(8, list_entry_json("a", old.address, "leaving") + "," +
+                                                            list_entry_json("b", fresh.address)));
     watch.ends_within(1);
   });
   SidecarProcess sidecar(list_entry_json("a", old.address), options);
@@ -345,8 +345,8 @@
   sleep_for(0.5);
   while (sidecar.discovery().has_connection_within(0)) sidecar.discovery().accept_connection();
   TestConnection watch = sidecar.discovery().accept_request().first;
-  watch.send_text(kChunkedResponseHead + list_of(8, list_entry_json("a", old.address, "leaving") + "," +
-                                                        list_entry_json("b", fresh.address)));
+  watch.send_text(kChunkedResponseHead + list_line(8, list_entry_json("a", old.address, "leaving") + "," +
+                                                          list_entry_json("b", fresh.address)));
   sleep_for(0.05);
   for (int i = 0; i < 5; ++i) assert(request_reaches(fresh, sidecar, std::to_string(i)));
   assert(!old.has_connection_within(0) && sidecar.cpu_seconds() < 1);
@@ -429,9 +429,9 @@
   });
   double longest = 0;
   for (double until = now() + 2; now() < until; sleep_for(0.02)) {
-    double begun = now();
+    double started_at = now();
     assert(sidecar.status_of("GET /healthz HTTP/1.1\r\n\r\n") == 200);
-    longest = std::max(longest, now() - begun);
+    longest = std::max(longest, now() - started_at);
   }
   over = true;
   crowding.join();
@@ -479,12 +479,12 @@
   SidecarProcess sidecar(list_entry_json("a", endpoint.address));
   for (bool sized : {false, true}) {
     TestConnection client(sidecar.listen);
-    double begun = now();
+    double started_at = now();
     client.send_text(post_request("x"));
     auto [attempt, request] = endpoint.accept_request();
     attempt.send_text(sized ? "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" : kChunkedResponseHead);
-    while (attempt.send_text(sized ? "x" : http_chunk("x")) && now() < begun + 2.5) sleep_for(0.05);
-    assert(now() - begun < 1.45 &&
+    while (attempt.send_text(sized ? "x" : http_chunk("x")) && now() < started_at + 2.5) sleep_for(0.05);
+    assert(now() - started_at < 1.45 &&
            client.ends_within(0.2));  // client timeout 1 s; responses later than 0.5 s after it are lost
   }
 }
@@ -544,7 +544,7 @@
       if (!listener_.has_connection_within(0.05)) continue;
       watches.push_back(listener_.accept_connection());
       if (watches.back().receive_message(Side::Request))
-        watches.back().send_text(kChunkedResponseHead + list_of(8, entries_)), ++sent_count_;
+        watches.back().send_text(kChunkedResponseHead + list_line(8, entries_)), ++sent_count_;
     }
   }
   Listener& listener_;
--- a/tests/integration/fleet_processes.h
+++ b/tests/integration/fleet_processes.h
@@ -103,12 +103,12 @@
   // Seconds until the selected processes share one view with that many live members, -1 if they do not within
   // that time.
   double seconds_until_agreement(
-      std::size_t members, double within, std::function<bool(int)> who = [](int) { return true; }) {
+      std::size_t members, double within, std::function<bool(int)> is_selected = [](int) { return true; }) {
     for (double from = now(); now() < from + within; sleep_for(0.1)) {
       std::set<std::string> views;
       bool right = true;
       for (const Process& one : all) {
-        if (!one.is_running() || !who(one.number)) continue;
+        if (!one.is_running() || !is_selected(one.number)) continue;
         json view = one.view();
         right = right && view.is_object() && view["live"] == members;
         if (right) views.insert(view["view"].get<std::string>());
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -1,4 +1,4 @@
-// A program whose log is a pipe that is full and that nobody reads: it serves, leaves and fails to start as
+// Tests of a program whose log is a full pipe that nobody reads: it serves, shuts down and fails to start as
 // it does with any other log.
 #include "testing/log_pipe.h"
 
@@ -23,7 +23,7 @@
   return options;
 }
 
-// A sidecar before one endpoint; its output is the pipe.
+// A sidecar in front of one endpoint, with the pipe as its output.
 class FullLogPipe : public testing::Test {
  protected:
   FullLogPipe() {
@@ -68,7 +68,7 @@
   constexpr int kReloads = 4;
   log_.fill();
   reload(kReloads);
-  std::string text = log_.read_all();  // lines may come while it is still being read
+  std::string text = log_.read_all();  // lines may arrive during this read
   int lines = 0;
   const std::string line = "reloads its configuration";
 
@@ -109,7 +109,7 @@
   LogPipe log;
   log.fill();
   SidecarProcess::Options options = logging_options();
-  options.number = 1;  // it is not waited for
+  options.number = 1;  // the constructor does not wait for it to serve
   options.rules = "{";
   auto inherited = std::make_unique<InheritedOutput>(log);
 
@@ -119,7 +119,7 @@
   EXPECT_EQ(sidecar.exit_code(3), 1);
 }
 
-// The server of a site, as a child whose output is the pipe.
+// A child process that serves a site file, with the pipe as its output.
 class SiteServer {
  public:
   SiteServer(const std::string& listen, const std::string& endpoint, const LogPipe& log)
--- a/tests/integration/production.cpp
+++ b/tests/integration/production.cpp
@@ -23,9 +23,9 @@
 const std::string kChunkedResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const std::string kClosingResponse = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-std::string list_of(int index, const std::string& entries, bool whole = true) {
-  return http_chunk(R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" + (whole ? "true" : "false") +
-                    R"(,"endpoints":[)" + entries + "]}\n");
+std::string list_line(int index, const std::string& entries, bool is_snapshot = true) {
+  return http_chunk(R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" +
+                    (is_snapshot ? "true" : "false") + R"(,"endpoints":[)" + entries + "]}\n");
 }
 
 SidecarProcess::Options on_request_mode() {
@@ -60,11 +60,11 @@
   options.number = 1;
   options.discovery = &first;
   SidecarProcess sidecar(list_entry_json("a", endpoint.address), options);
-  TestConnection watch = open_watch(first, list_of(8, list_entry_json("a", endpoint.address)));
+  TestConnection watch = open_watch(first, list_line(8, list_entry_json("a", endpoint.address)));
   sidecar.write_configuration(second.address);
   sidecar.reload();
   assert(second.has_connection_within(2));
-  TestConnection moved = open_watch(second, list_of(9, list_entry_json("a", endpoint.address)));
+  TestConnection moved = open_watch(second, list_line(9, list_entry_json("a", endpoint.address)));
   assert(watch.ends_within(1));
   listener_holder.reset();
   double until = now() + 3;
@@ -79,7 +79,8 @@
   std::vector<std::unique_ptr<Listener>> discoveries;
   for (int i = 0; i < 5; ++i) discoveries.push_back(std::make_unique<Listener>(20 + i));
   SidecarProcess sidecar(list_entry_json("a", endpoint.address), on_request_mode());
-  TestConnection before = open_watch(sidecar.discovery(), list_of(8, list_entry_json("a", endpoint.address)));
+  TestConnection before =
+      open_watch(sidecar.discovery(), list_line(8, list_entry_json("a", endpoint.address)));
   TestConnection client(sidecar.listen);
   client.send_text(post_request("x"));
   auto [attempt, request] = endpoint.accept_request();
@@ -99,8 +100,8 @@
     if (call.receive_message(Side::Request)) watch.emplace(std::move(call));
   }
   assert(watch && before.ends_within(1));
-  watch->send_text(kChunkedResponseHead + list_of(9, list_entry_json("a", endpoint.address, "leaving") + "," +
-                                                         list_entry_json("b", fresh.address)));
+  watch->send_text(kChunkedResponseHead + list_line(9, list_entry_json("a", endpoint.address, "leaving") +
+                                                           "," + list_entry_json("b", fresh.address)));
   sleep_for(kListReadSeconds);
   assert(request_reaches(fresh, sidecar, "1") && !endpoint.has_connection_within(0));
   attempt.send_text(ok_response("x"));
@@ -111,7 +112,8 @@
 void invalid_configuration_changes_nothing() {
   Listener endpoint(2), second(4);
   SidecarProcess sidecar(list_entry_json("a", endpoint.address), on_request_mode());
-  TestConnection watch = open_watch(sidecar.discovery(), list_of(8, list_entry_json("a", endpoint.address)));
+  TestConnection watch =
+      open_watch(sidecar.discovery(), list_line(8, list_entry_json("a", endpoint.address)));
   for (std::string file : {"half \"", "nowhere", "10.0.0.1:0", "10.0.0.1:99999", "[", ":", "\\u0000"}) {
     sidecar.write_configuration(file);
     sidecar.reload();
@@ -120,7 +122,7 @@
   }
   sidecar.write_configuration(second.address);
   sidecar.reload();
-  open_watch(second, list_of(9, list_entry_json("a", endpoint.address)));
+  open_watch(second, list_line(9, list_entry_json("a", endpoint.address)));
   assert(watch.ends_within(1) && request_reaches(endpoint, sidecar, "1"));
 }
 
@@ -135,12 +137,12 @@
   second.admin = loopback_address(8) + ":5109";
   second.number = 1;
   SidecarProcess predecessor(list_entry_json("a", silent.address), first);
-  TestConnection watch = open_watch(discovery, list_of(8, list_entry_json("a", silent.address)));
+  TestConnection watch = open_watch(discovery, list_line(8, list_entry_json("a", silent.address)));
   TestConnection client(predecessor.listen);
   client.send_text(get_request("", "1"));
   auto [attempt, request] = silent.accept_request();
   SidecarProcess successor(list_entry_json("a", silent.address), second);
-  TestConnection other = open_watch(discovery, list_of(8, list_entry_json("a", silent.address)));
+  TestConnection other = open_watch(discovery, list_line(8, list_entry_json("a", silent.address)));
   auto ready = [&] {
     TestConnection connection(second.admin);
     return connection.connected && connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n") &&
@@ -153,8 +155,9 @@
   predecessor.write_configuration(moved.address);
   predecessor.reload();
   assert(moved.has_connection_within(2));
-  TestConnection heard = open_watch(moved, list_of(9, list_entry_json("b", fresh.address) + "," +
-                                                          list_entry_json("a", silent.address, "leaving")));
+  TestConnection moved_watch =
+      open_watch(moved, list_line(9, list_entry_json("b", fresh.address) + "," +
+                                         list_entry_json("a", silent.address, "leaving")));
   sleep_for(kListReadSeconds);
   attempt.reset();  // the retry uses the new list
   auto [retry, again] = fresh.accept_request();
@@ -216,8 +219,8 @@
       sidecar.discovery().accept_connection();  // calls that are abandoned
     double back = now();
     TestConnection watch =
-        open_watch(sidecar.discovery(), list_of(9, list_entry_json("b", fresh.address) + "," +
-                                                       list_entry_json("a", endpoint.address, "leaving")));
+        open_watch(sidecar.discovery(), list_line(9, list_entry_json("b", fresh.address) + "," +
+                                                         list_entry_json("a", endpoint.address, "leaving")));
     sleep_for(kListReadSeconds);
     assert(now() - back < 6 && request_reaches(fresh, sidecar, "2") && !endpoint.has_connection_within(0));
   }
@@ -239,8 +242,8 @@
     double signalled_at = now();
     sidecar.reload();
     assert(moved.has_connection_within(0.5));
-    open_watch(moved, list_of(9, list_entry_json("b", fresh.address) + "," +
-                                     list_entry_json("a", endpoint.address, "leaving")));
+    open_watch(moved, list_line(9, list_entry_json("b", fresh.address) + "," +
+                                       list_entry_json("a", endpoint.address, "leaving")));
     sleep_for(kListReadSeconds);
     assert(now() - signalled_at < 4 && request_reaches(fresh, sidecar, "1") &&
            !endpoint.has_connection_within(0));
@@ -252,7 +255,8 @@
 void overloaded_discovery_is_read_in_time_after_a_reload() {
   Listener endpoint(2), fresh(3), moved(4);
   SidecarProcess sidecar(list_entry_json("a", endpoint.address), on_request_mode());
-  TestConnection watch = open_watch(sidecar.discovery(), list_of(8, list_entry_json("a", endpoint.address)));
+  TestConnection watch =
+      open_watch(sidecar.discovery(), list_line(8, list_entry_json("a", endpoint.address)));
   sidecar.write_configuration(moved.address);
   double signalled_at = now();
   sidecar.reload();
@@ -260,11 +264,11 @@
       "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   TestConnection next = moved.accept_request().first;
   sleep_for(1.8);
-  std::string whole = list_of(
+  std::string snapshot = list_line(
       9, list_entry_json("b", fresh.address) + "," + list_entry_json("a", endpoint.address, "leaving"));
-  next.send_text(kChunkedResponseHead + whole.substr(0, whole.size() / 2));
+  next.send_text(kChunkedResponseHead + snapshot.substr(0, snapshot.size() / 2));
   sleep_for(0.15);  // a call may take 2.2 s, of which 2 s are for waiting in the queue
-  next.send_text(whole.substr(whole.size() / 2));
+  next.send_text(snapshot.substr(snapshot.size() / 2));
   sleep_for(kListReadSeconds);
   assert(now() - signalled_at < 4 && request_reaches(fresh, sidecar, "1") &&
          !endpoint.has_connection_within(0));
@@ -284,14 +288,14 @@
  private:
   void send(const std::string& name, bool once) {
     for (int i = 0; !line_.has_input_within(0); ++i) {
-      double begun = now();
+      double started_at = now();
       if (!line_.send_text(get_request("", name + "x" + std::to_string(i)))) return;
       std::optional<HttpMessage> answer = line_.receive_message(Side::Response);
       constexpr double kReadTimeoutSeconds = 2.9;  // TestConnection gives up a read after 3 s
-      if (!answer && now() - begun > kReadTimeoutSeconds) answer = line_.receive_message(Side::Response);
+      if (!answer && now() - started_at > kReadTimeoutSeconds) answer = line_.receive_message(Side::Response);
       // A close that crosses the request arrives at once: the request was not read and may be sent again.
       constexpr double kCrossingSeconds = 0.03;
-      if (!answer && now() - begun > kCrossingSeconds) ++lost;
+      if (!answer && now() - started_at > kCrossingSeconds) ++lost;
       if (!answer) return;
       ++answered;
       if (once || !answer->keep_alive) return;
@@ -374,12 +378,12 @@
 void stalled_process_sends_nothing_to_an_endpoint_drained_meanwhile() {
   Listener old(2), fresh(3);
   SidecarProcess sidecar(list_entry_json("a", old.address), on_request_mode());
-  TestConnection watch = open_watch(sidecar.discovery(), list_of(8, list_entry_json("a", old.address)));
+  TestConnection watch = open_watch(sidecar.discovery(), list_line(8, list_entry_json("a", old.address)));
   TestConnection first(sidecar.listen), second(sidecar.listen);
   first.send_text(get_request("", "1"));
   auto [attempt, request] = old.accept_request();
   sidecar.while_stopped([&, &connection = attempt] {
-    watch.send_text(list_of(
+    watch.send_text(list_line(
         9, list_entry_json("a", old.address, "leaving") + "," + list_entry_json("b", fresh.address), false));
     connection.send_text("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     second.send_text(get_request("", "2"));
--- a/tests/integration/serving.cpp
+++ b/tests/integration/serving.cpp
@@ -209,15 +209,15 @@
   Listener endpoint(2);
   SidecarProcess sidecar(list_entry_json("a", endpoint.address));
   TestConnection client(sidecar.listen);
-  double begun = now();
+  double started_at = now();
   client.send_text(post_request("x"));
   auto [attempt, request] = endpoint.accept_request();
   attempt.send_text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
   sleep_for(0.25);
   attempt.send_text("4\r\nmore\r\n");
   assert(client.receive_until("more", 1).find("half") != std::string::npos);
-  assert(client.ends_within(3) && now() - begun > 0.9 &&
-         now() - begun < 1.5);  // client timeout 1 s, 0.5 s after it
+  assert(client.ends_within(3) && now() - started_at > 0.9 &&
+         now() - started_at < 1.5);  // client timeout 1 s, 0.5 s after it
 }
 
 // After a stall, the sidecar finds responses and overdue timers at the same time. Running the timers first
@@ -544,8 +544,8 @@
   sleep_for(0.4);
   assert(!TestConnection(sidecar.listen).connected && sidecar.exit_code(0) == -1);
   latest.send_text(get_request("", "80"));
-  auto asked = attempt.receive_message(HttpReader::Side::Request);
-  std::optional<double> left = parse_remaining_deadline(asked->header("X-Time-Left"));
+  auto last_request = attempt.receive_message(HttpReader::Side::Request);
+  std::optional<double> left = parse_remaining_deadline(last_request->header("X-Time-Left"));
   assert(left &&
          *left < 0.95);  // client timeout 1 s, cut so that the request is answered before the process ends
   sleep_for(0.5);        // half a second (the latency objective) is left after the last accepted request
@@ -571,16 +571,16 @@
       clients.back().send_text("GET /healthz HTTP/1.1\r\n\r\n");
       assert(clients.back().response_status() == 200);
     }
-    double begun = now();
+    double started_at = now();
     clients[0].send_text(post_request("before"));
     auto [attempt, request] = silent.accept_request();
     sidecar.terminate();
     const double came[] = {0, 0.02, 0.3, 1.2, 2.9};
     for (std::size_t i = 1; i < clients.size(); ++i) {
-      sleep_for(begun + came[i] - now());
+      sleep_for(started_at + came[i] - now());
       assert(clients[i].send_text(get_request("", "8" + std::to_string(i))));
     }
-    sleep_for(begun + 3.7 - now());
+    sleep_for(started_at + 3.7 - now());
     kill(sidecar.child(), SIGKILL);
     for (TestConnection& client : clients) assert(client.response_status() >= 502);
     assert(sidecar.exit_code(1) == 0);  // it had ended by itself
@@ -629,11 +629,12 @@
   double before = sidecar.cpu_seconds();
   sleep_for(0.5);
   assert(sidecar.cpu_seconds() - before < 0.1);
-  TestConnection whole(sidecar.listen);  // behind all others: connections with half a request are reclaimed
-  whole.send_text(get_request());
+  TestConnection complete(
+      sidecar.listen);  // behind all others: connections with half a request are reclaimed
+  complete.send_text(get_request());
   auto [attempt, request] = endpoint.accept_request();
   attempt.send_text(ok_response("x"));
-  assert(whole.response_status() == 200);
+  assert(complete.response_status() == 200);
   clients.clear();
   for (int i = 0; i < 60; ++i) {  // idle connections are reclaimed for the next
     clients.emplace_back(sidecar.listen);
@@ -653,7 +654,7 @@
     list += (i ? "," : "") + list_entry_json("e" + std::to_string(i), endpoints.back()->address);
   }
   SidecarProcess sidecar(list, R"({"sockets":80,"memory_mb":64})");
-  auto asked = [&](TestConnection& connection) {
+  auto received_request = [&](TestConnection& connection) {
     return connection.has_input_within(0) && connection.receive_message(HttpReader::Side::Request);
   };
   auto attempted = [&](double within) -> TestConnection* {
@@ -661,7 +662,7 @@
       for (auto& one : endpoints) {
         if (one->has_connection_within(0)) kept.push_back(one->accept_connection());
       }
-      auto found = std::find_if(kept.begin(), kept.end(), asked);
+      auto found = std::find_if(kept.begin(), kept.end(), received_request);
       if (found != kept.end()) return &*found;
     }
     return nullptr;
--- a/tests/integration/site_serving.cpp
+++ b/tests/integration/site_serving.cpp
@@ -30,10 +30,10 @@
   return "listener " + name + " { address " + address + " }\n";
 }
 std::string pool(const std::string& name, const std::vector<std::pair<std::string, std::string>>& endpoints) {
-  std::string made = "pool " + name + " {\n";
+  std::string text = "pool " + name + " {\n";
   for (const auto& [endpoint_name, address] : endpoints)
-    made += "  endpoint " + endpoint_name + " " + address + "\n";
-  return made + "}\n";
+    text += "  endpoint " + endpoint_name + " " + address + "\n";
+  return text + "}\n";
 }
 std::string route(const std::string& name, const std::string& body) {
   return "route " + name + " { " + body + " }\n";
@@ -177,16 +177,17 @@
   auto [attempt, request] = one.accept_request();
   assert(request.target == "/a/1?x" && request.header("X-Correlation-Id").size() == 32);
   attempt.send_text(answer("404 Not Found", "none", "X-Own: 1\r\n"));
-  auto heard = client.receive_message(HttpReader::Side::Response);
-  assert(heard && heard->status == 404 && heard->header("X-Own") == "1" && heard->body.text() == "none");
+  auto response = client.receive_message(HttpReader::Side::Response);
+  assert(response && response->status == 404 && response->header("X-Own") == "1" &&
+         response->body.text() == "none");
   client.send_text(post_request("/b/x", "effect"));
   auto [second, changed] = two.accept_request();
   assert(changed.target == "/v2/x" && changed.body.text() == "effect");
   second.send_text(answer("201 Created", ""));
   assert(client.response_status() == 201);
   client.send_text(get_request("/gone"));
-  heard = client.receive_message(HttpReader::Side::Response);
-  assert(heard->status == 410 && heard->body.text() == "no more\n");
+  response = client.receive_message(HttpReader::Side::Response);
+  assert(response->status == 410 && response->body.text() == "no more\n");
   client.send_text(get_request("/elsewhere"));
   assert(client.response_status() == 404);
   client.send_text(get_request("/b/x"));  // not POST
@@ -205,9 +206,9 @@
   Listener &first = one.has_connection_within(0) ? one : two, &other = &first == &one ? two : one;
   auto [attempt, request] = first.accept_request();
   attempt.send_text(answer("500 Oops", "the reason", "X-Own: 1\r\n"));
-  auto heard = client.receive_message(HttpReader::Side::Response);
-  assert(heard && heard->status == 500 && heard->body.text() == "the reason" &&
-         heard->header("X-Own") == "1");
+  auto response = client.receive_message(HttpReader::Side::Response);
+  assert(response && response->status == 500 && response->body.text() == "the reason" &&
+         response->header("X-Own") == "1");
   assert(!other.has_connection_within(0.1));  // rule 2: an unsafe request that may have run is not retried
 }
 
@@ -244,12 +245,12 @@
 }
 
 void bind_failure_keeps_the_old_site_version() {
-  Listener one(2), taken(8);
+  Listener one(2), occupied(8);
   const std::string good = pool("a", {{"one", one.address}}) + route("a", "path /; to a; as status");
   SiteProcess site(good);
   int before = site.descriptors();
   // The first new listener can be opened, and has to be closed again.
-  site.reload(good + listener("free", loopback_address(7) + ":5007") + listener("taken", taken.address),
+  site.reload(good + listener("free", loopback_address(7) + ":5007") + listener("taken", occupied.address),
               "site.kept");
   assert(site.count("Error binding") == 1);
   assert(site.descriptors() == before && !TestConnection(loopback_address(7) + ":5007").connected);
@@ -278,8 +279,8 @@
   site.reload(base);
   assert(idle.ends_within(1) && !TestConnection(second).connected);
   first.send_text(answer("200 OK", "in time"));
-  auto heard = waiting.receive_message(HttpReader::Side::Response);
-  assert(heard && heard->body.text() == "in time" && heard->header("Connection") == "close" &&
+  auto response = waiting.receive_message(HttpReader::Side::Response);
+  assert(response && response->body.text() == "in time" && response->header("Connection") == "close" &&
          waiting.ends_within(2));
 }
 
@@ -426,8 +427,8 @@
 void new_static_endpoint_of_a_busy_pool_gets_a_slow_start() {
   Listener one(2), fresh(3);
   auto body = [&](bool both) {
-    std::string made = "pool a { endpoint one " + one.address + "; warm-after 30s; cold-share 5%";
-    return made + (both ? "; endpoint two " + fresh.address : "") + " }\n" +
+    std::string text = "pool a { endpoint one " + one.address + "; warm-after 30s; cold-share 5%";
+    return text + (both ? "; endpoint two " + fresh.address : "") + " }\n" +
            route("a", "path /; to a; as status");
   };
   SiteProcess site(body(false));
--- a/tests/integration/slow_reader_test.cpp
+++ b/tests/integration/slow_reader_test.cpp
@@ -1,5 +1,5 @@
-// Clients that read their last answer slowly and have sent more by then: the answer has to come whole, though
-// the connection is closed, or the process ends, over bytes that nobody reads.
+// Clients that read their last response slowly and have sent another request meanwhile: the response has to
+// arrive complete, although the connection is closed, or the process ends, with unread data.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -11,7 +11,7 @@
 namespace puffinvane::test {
 namespace {
 
-// More than a client's receive buffer holds and less than a send buffer does.
+// More than the receive buffer of a client holds, and less than a send buffer does.
 constexpr std::size_t kAnswerBytes = 40'000;
 
 class SlowReader : public testing::Test {
@@ -26,7 +26,8 @@
     connection.send_text("PUT /api/evacuate HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
     EXPECT_EQ(connection.response_status(), 200);
   }
-  // Asks, has the endpoint answer after a while, and sends another request while the answer lies unread.
+  // Sends a request, has the endpoint answer after that time, and sends another request while the response is
+  // unread.
   void ask_and_send_more(TestConnection& client, double response_time_s) {
     client.send_text(get_request("", "first"));
     auto [attempt, request] = endpoint_.accept_request();
@@ -64,7 +65,8 @@
 
   sidecar_->terminate();
   sleep_for(0.85);
-  ask_and_send_more(client, 0.3);  // it ends when answers are the last on their connections
+  ask_and_send_more(client,
+                    0.3);  // the process ends in the phase in which every response closes its connection
   const int exit_code = sidecar_->exit_code(2);
 
   EXPECT_EQ(exit_code, 0);
--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -55,10 +55,10 @@
   // Sends the request on a new connection and returns the response status, 0 if none came within three
   // seconds. Counts responses that came later than `within`.
   int ask(const std::string& request, double within = kPromptSeconds) {
-    double begun = now();
+    double started_at = now();
     int status = sidecar->status_of(request);
-    slowest = std::max(slowest, now() - begun);
-    late += now() - begun > within;
+    slowest = std::max(slowest, now() - started_at);
+    late += now() - started_at > within;
     return status;
   }
   // How many endpoints the sidecar considers unhealthy.
--- a/tests/integration/upgrade.cpp
+++ b/tests/integration/upgrade.cpp
@@ -129,9 +129,9 @@
   auto [attempt, request] = silent.accept_request();
   SidecarProcess successor(list_entry_json("a", silent.address), second);
   wait_ready(1);
-  double begun = now();
+  double started_at = now();
   predecessor.terminate();
-  assert(predecessor.exit_code(3.7) == 0 && now() - begun > 3 && client.response_status() == 502);
+  assert(predecessor.exit_code(3.7) == 0 && now() - started_at > 3 && client.response_status() == 502);
 }
 
 // One endpoint of four refuses connections: the successor knows this before it has sent anything itself.
