--- a/testing/answering.h
+++ b/testing/answering_endpoint.h
@@ -5,7 +5,7 @@
 #include <thread>
 #include <vector>
 
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 
--- a/testing/discovery_stand_ins.h
+++ b/testing/discovery_stand_ins.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "src/discovery/discovery_watch.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 
--- a/testing/program_main.h
+++ b/testing/program_main.h
@@ -5,7 +5,7 @@
 
 #include <csignal>
 
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 
--- a/testing/soak_client.h
+++ b/testing/soak_client.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "src/http/http.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 
--- a/testing/soak_endpoint.h
+++ b/testing/soak_endpoint.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "src/proxy/pending_requests.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 
--- a/tests/integration/admin_api.cpp
+++ b/tests/integration/admin_api.cpp
@@ -9,8 +9,8 @@
 #include <sstream>
 #include <vector>
 
-#include "testing/answering.h"
-#include "testing/running.h"
+#include "testing/answering_endpoint.h"
+#include "testing/sidecar_process.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/integration/bulk.cpp
+++ b/tests/integration/bulk.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/integration/crossings.cpp
+++ b/tests/integration/crossings.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "src/proxy/request_forwarder.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/integration/fleet_processes.h
+++ b/tests/integration/fleet_processes.h
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 #include "tests/integration/fleet_relay.h"
 
 namespace puffinvane::fleet::test {
--- a/tests/integration/fleet_sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "testing/answering.h"
+#include "testing/answering_endpoint.h"
 #include "tests/integration/fleet_processes.h"
 
 using namespace puffinvane;
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <string>
 
-#include "testing/answering.h"
+#include "testing/answering_endpoint.h"
 #include "testing/program_main.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 namespace {
--- a/tests/integration/restart_soak.cpp
+++ b/tests/integration/restart_soak.cpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <vector>
 
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 #include "testing/soak_client.h"
 #include "testing/soak_endpoint.h"
 
--- a/tests/integration/serving.cpp
+++ b/tests/integration/serving.cpp
@@ -5,7 +5,7 @@
 #include <cassert>
 #include <functional>
 
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
--- a/tests/integration/slow_reader_test.cpp
+++ b/tests/integration/slow_reader_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "testing/program_main.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 namespace {
--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "src/net/log.h"
-#include "testing/answering.h"
+#include "testing/answering_endpoint.h"
 #include "testing/faults/faults.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
