--- a/tests/integration/clocks.cpp
+++ b/tests/integration/clocks.cpp
@@ -146,11 +146,11 @@
     fixture.restart_fresh_endpoint();
     double started = now();
     int slow_start = fixture.share_of_fresh(sidecar);
-    std::printf("%s: %d of %d while cold", wrong, slow_start, kRequests);
+    std::printf("%s: %d of %d in slow start", wrong, slow_start, kRequests);
     assert(slow_start <= kMaxRequestsInSlowStart);
     sleep_for(std::max(0.0, started + kSlowStartSeconds + 0.5 - now()));
     int warm = fixture.largest_share_of_fresh(sidecar);
-    std::printf(", %d once warm\n", warm);
+    std::printf(", %d when warm\n", warm);
     assert(warm >= kMinRequestsWhenWarm);
   }
 }
--- a/tests/integration/fleet_processes.cpp
+++ b/tests/integration/fleet_processes.cpp
@@ -26,7 +26,7 @@
   assert(elapsed_s >= 0);
   for (int i = 14; i < kMembers; ++i) fleet.all[std::size_t(i)].start();
   elapsed_s = fleet.seconds_until_agreement(kMembers, 15);
-  print_duration("started again, all agree", elapsed_s);
+  print_duration("restarted, all agree", elapsed_s);
   assert(elapsed_s >= 0);
 }
 
@@ -78,7 +78,7 @@
   one.signal(SIGTERM);
   double from = now();
   while (fleet.all[9].state("n5") != "departed" && now() < from + 10) sleep_for(0.05);
-  print_duration("told to end, departed for another", now() - from);
+  print_duration("terminated, seen departed by another", now() - from);
   assert(now() < from + 5);
   one.kill();
   one.start();
@@ -91,7 +91,7 @@
   fleet.relay.set_links({0, 0, 0, 0, 0, [](int from, int to) { return from % 2 != to % 2; }});
   double elapsed_s = fleet.seconds_until_agreement(kMembers / 2, 60, even);
   assert(elapsed_s >= 0 && fleet.seconds_until_agreement(kMembers / 2, 30, odd) >= 0);
-  print_duration("cut in two, each side agrees", elapsed_s);
+  print_duration("partitioned, each half agrees", elapsed_s);
   fleet.relay.set_links({});
   elapsed_s = fleet.seconds_until_agreement(kMembers, 30);
   print_duration("healed, all agree", elapsed_s);
@@ -104,11 +104,11 @@
   fleet.all[7].signal(SIGSTOP);
   double from = now();
   while (fleet.all[3].state("n7") != "dead" && now() < from + 25) sleep_for(0.1);
-  print_duration("stands still, dead for another", now() - from);
+  print_duration("stopped, seen dead by another", now() - from);
   assert(fleet.all[3].state("n7") == "dead");
   fleet.all[7].signal(SIGCONT);
   double elapsed_s = fleet.seconds_until_agreement(kMembers, 20);
-  print_duration("goes on, all agree", elapsed_s);
+  print_duration("resumed, all agree", elapsed_s);
   assert(elapsed_s >= 0);
   assert(fleet.all[7].metric("stalls_total") > 0 && fleet.all[7].metric("died_total") == before[7]);
 }
@@ -138,7 +138,7 @@
   }
   double from = now();
   while (fleet.all[7].metric("superseded") != 0 && now() < from + 30) sleep_for(0.1);
-  print_duration("a twin killed, the first is a member again", now() - from);
+  print_duration("second of one name killed, first is a member again", now() - from);
   assert(fleet.seconds_until_agreement(kMembers, 20) >= 0);
   assert(fleet.all[3].state("n7", "address") == Relay::advertised(7));
 }
@@ -164,7 +164,7 @@
     assert(state != "dead" && state != "departed" && now() < from + 8);
     sleep_for(0.05);
   }
-  print_duration("taken over, known as a later life", now() - from);
+  print_duration("taken over, seen with a later incarnation", now() - from);
   fleet.all[6].kill();
   assert(fleet.all[3].state("n6") == "alive");
   successor.kill();
--- a/tests/integration/fleet_sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -71,8 +71,8 @@
 
 void print(const char* what, const Observation& observation) {
   std::printf(
-      "  %-28s most over mean %.2f, least %4d visits, connections %3d, of an endpoint at least %d, lost %d\n",
-      what, observation.max_over_mean, observation.fewest_requests, observation.connections,
+      "  %-28s max over mean %.2f, min %4d requests, connections %3d, min %d of an endpoint, lost %d\n", what,
+      observation.max_over_mean, observation.fewest_requests, observation.connections,
       observation.fewest_connections, observation.lost_requests);
 }
 
--- a/tests/integration/site_serving.cpp
+++ b/tests/integration/site_serving.cpp
@@ -412,7 +412,7 @@
       assert(endpoint.serve(client) == 200);
     }
   }
-  std::printf("%d visits over %d reloads\n", served, site.count("site.reloaded"));
+  std::printf("%d requests during %d reloads\n", served, site.count("site.reloaded"));
   assert(endpoint.delivered[0] == served);  // no request was sent twice
   assert(site.count("site.reloaded") >= 20 && site.count("site.kept") == 0);
   endpoint.disconnect();
@@ -445,7 +445,7 @@
   requests_for(0.5);
   site.reload(body(true));
   int all = requests_for(2);
-  std::printf("%d of %d visits to the cold one\n", endpoints.delivered[1], all);
+  std::printf("%d of %d requests to the new endpoint\n", endpoints.delivered[1], all);
   assert(all > 100 && endpoints.delivered[1] > 0 && endpoints.delivered[1] < all / 8);
 }
 
--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -25,7 +25,7 @@
 
 std::string library;
 
-constexpr double kPromptSeconds = 0.3;  // seconds: well under the longest of the sidecar's own time-outs
+constexpr double kPromptSeconds = 0.3;  // well under the longest time-out of the sidecar
 
 // Sent by endpoints that serve one request per connection, so that each attempt has to connect.
 const std::string kClosingResponse = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx";
@@ -36,7 +36,7 @@
   return options;
 }
 
-std::string admin_of(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
+std::string admin_address(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
 
 // A few endpoints and the sidecar under test in front of them.
 struct SidecarWithEndpoints {
@@ -49,7 +49,7 @@
           (i > 0 ? "," : "") + list_entry_json("e" + std::to_string(i), endpoints.back()->listener.address);
     }
     SidecarProcess::Options options = options_with(faults);
-    options.admin = admin_of(0);
+    options.admin = admin_address(0);
     sidecar.emplace(known, options);
   }
   // Sends the request on a new connection and returns the response status, 0 if none came within three
@@ -64,7 +64,7 @@
   // How many endpoints the sidecar considers unhealthy.
   int unhealthy_count() const {
     const std::string name = "\nsidecar_cluster_unhealthy ";
-    TestConnection connection(admin_of(0));
+    TestConnection connection(admin_address(0));
     connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
     auto answer = connection.receive_message(HttpReader::Side::Response);
     assert(answer);
@@ -353,7 +353,7 @@
 // ---- takeover
 
 bool ready(int number) {
-  TestConnection connection(admin_of(number));
+  TestConnection connection(admin_address(number));
   if (!connection.connected) return false;
   connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n");
   return connection.response_status() == 200;
@@ -367,7 +367,7 @@
   Faults predecessor_faults(library), successor_faults(library, successor_schedule);
   auto options = [&](int number, const Faults& faults) {
     SidecarProcess::Options made = options_with(faults);
-    made.admin = admin_of(number);
+    made.admin = admin_address(number);
     made.number = number;
     made.discovery = &discovery;
     return made;
--- a/tests/integration/upgrade.cpp
+++ b/tests/integration/upgrade.cpp
@@ -19,18 +19,18 @@
 
 namespace {
 
-std::string admin_of(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
+std::string admin_address(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
 
 SidecarProcess::Options options(int number, Listener& discovery) {
-  SidecarProcess::Options made;
-  made.admin = admin_of(number);
-  made.number = number;
-  made.discovery = &discovery;
-  return made;
+  SidecarProcess::Options options;
+  options.admin = admin_address(number);
+  options.number = number;
+  options.discovery = &discovery;
+  return options;
 }
 int admin_call_status(int number, const std::string& method, const std::string& path,
                       const std::string& body = "") {
-  TestConnection connection(admin_of(number));
+  TestConnection connection(admin_address(number));
   if (!connection.connected) return 0;
   connection.send_text(method + " " + path + " HTTP/1.1\r\nContent-Length: " + std::to_string(body.size()) +
                        "\r\n\r\n" + body);
@@ -90,7 +90,7 @@
   load.is_over = true;
   for (std::thread& one : load.clients) one.join();
   load.clients.clear();
-  std::printf("%d upgrades: %d visits served, %d lost at the door, %d connections ended\n", upgrades,
+  std::printf("%d upgrades: %d requests served, %d lost, %d connections closed\n", upgrades,
               load.served.load(), load.lost.load(), load.closed.load());
   assert(load.lost == 0 && load.closed == 0);
 }
@@ -142,7 +142,7 @@
   for (AnsweringEndpoint& one : answers)
     known += "," + list_entry_json(one.listener.address, one.listener.address);
   auto avoids_one = [](int number) {
-    TestConnection connection(admin_of(number));
+    TestConnection connection(admin_address(number));
     connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
     auto answer = connection.receive_message(HttpReader::Side::Response);
     return answer && answer->body.text().find("\nsidecar_cluster_unhealthy 1\n") != std::string::npos;
@@ -166,7 +166,7 @@
                             "127.200." + std::to_string(i / 200) + "." + std::to_string(i % 200 + 1) + ":1") +
             ",";
   auto metric = [](int number, const std::string& name) {
-    TestConnection connection(admin_of(number));
+    TestConnection connection(admin_address(number));
     connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
     auto answer = connection.receive_message(HttpReader::Side::Response);
     std::string text = answer ? answer->body.text() : "";
