--- a/tests/integration/syscalls.cpp
+++ b/tests/integration/syscalls.cpp
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "src/net/log.h"
-#include "testing/answering.h"
+#include "testing/answering_endpoint.h"
 #include "testing/faults/faults.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 using namespace puffinvane;
 using namespace puffinvane::test;
@@ -25,7 +25,7 @@
 
 std::string library;
 
-constexpr double kPromptSeconds = 0.3;  // seconds: well under the longest of the sidecar's own time-outs
+constexpr double kPromptSeconds = 0.3;  // well under the longest time-out of the sidecar
 
 // Sent by endpoints that serve one request per connection, so that each attempt has to connect.
 const std::string kClosingResponse = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx";
@@ -36,7 +36,7 @@
   return options;
 }
 
-std::string admin_of(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
+std::string admin_address(int number) { return loopback_address(3) + ":" + std::to_string(5100 + number); }
 
 // A few endpoints and the sidecar under test in front of them.
 struct SidecarWithEndpoints {
@@ -49,24 +49,24 @@
           (i > 0 ? "," : "") + list_entry_json("e" + std::to_string(i), endpoints.back()->listener.address);
     }
     SidecarProcess::Options options = options_with(faults);
-    options.admin = admin_of(0);
+    options.admin = admin_address(0);
     sidecar.emplace(known, options);
   }
   // Sends the request on a new connection and returns the response status, 0 if none came within three
   // seconds. Counts responses that came later than `within`.
   int ask(const std::string& request, double within = kPromptSeconds) {
-    double begun = now();
+    double started_at = now();
     int status = sidecar->status_of(request);
-    slowest = std::max(slowest, now() - begun);
-    late += now() - begun > within;
+    slowest = std::max(slowest, now() - started_at);
+    late += now() - started_at > within;
     return status;
   }
   // How many endpoints the sidecar considers unhealthy.
   int unhealthy_count() const {
     const std::string name = "\nsidecar_cluster_unhealthy ";
-    TestConnection line(admin_of(0));
-    line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
-    auto answer = line.receive_message(HttpReader::Side::Response);
+    TestConnection connection(admin_address(0));
+    connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+    auto answer = connection.receive_message(HttpReader::Side::Response);
     assert(answer);
     const std::string text = answer->body.text();
     return std::stoi(text.substr(text.find(name) + name.size()));
@@ -353,10 +353,10 @@
 // ---- takeover
 
 bool ready(int number) {
-  TestConnection line(admin_of(number));
-  if (!line.connected) return false;
-  line.send_text("GET /api/ready HTTP/1.1\r\n\r\n");
-  return line.response_status() == 200;
+  TestConnection connection(admin_address(number));
+  if (!connection.connected) return false;
+  connection.send_text("GET /api/ready HTTP/1.1\r\n\r\n");
+  return connection.response_status() == 200;
 }
 
 // Idle client connections go over to the successor, which serves the next request on each of them.
@@ -367,7 +367,7 @@
   Faults predecessor_faults(library), successor_faults(library, successor_schedule);
   auto options = [&](int number, const Faults& faults) {
     SidecarProcess::Options made = options_with(faults);
-    made.admin = admin_of(number);
+    made.admin = admin_address(number);
     made.number = number;
     made.discovery = &discovery;
     return made;
