--- a/tests/integration/fleet_sharing.cpp
+++ b/tests/integration/fleet_sharing.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "testing/answering.h"
+#include "testing/answering_endpoint.h"
 #include "tests/integration/fleet_processes.h"
 
 using namespace puffinvane;
@@ -41,9 +41,9 @@
   std::string prefix = "t" + std::to_string(++phase_number) + "x";
   for (int i = first_sidecar * kClients; i < kSidecars * kClients; ++i) {
     clients.emplace_back([&, to = fleet.all[std::size_t(i / kClients)].listener()] {
-      for (TestConnection line(to); !over; sleep_for(0.002)) {
-        line.send_text(get_request("", prefix + std::to_string(++ids)));
-        auto answer = line.receive_message(HttpReader::Side::Response);
+      for (TestConnection connection(to); !over; sleep_for(0.002)) {
+        connection.send_text(get_request("", prefix + std::to_string(++ids)));
+        auto answer = connection.receive_message(HttpReader::Side::Response);
         lost_requests += !answer || answer->status != 200;
         if (!answer) return;
       }
@@ -71,8 +71,8 @@
 
 void print(const char* what, const Observation& observation) {
   std::printf(
-      "  %-28s most over mean %.2f, least %4d visits, connections %3d, of an endpoint at least %d, lost %d\n",
-      what, observation.max_over_mean, observation.fewest_requests, observation.connections,
+      "  %-28s max over mean %.2f, min %4d requests, connections %3d, min %d of an endpoint, lost %d\n", what,
+      observation.max_over_mean, observation.fewest_requests, observation.connections,
       observation.fewest_connections, observation.lost_requests);
 }
 
--- a/tests/integration/log_pipe_test.cpp
+++ b/tests/integration/log_pipe_test.cpp
@@ -1,4 +1,4 @@
-// A program whose log is a pipe that is full and that nobody reads: it serves, leaves and fails to start as
+// Tests of a program whose log is a full pipe that nobody reads: it serves, shuts down and fails to start as
 // it does with any other log.
 #include "testing/log_pipe.h"
 
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <string>
 
-#include "testing/answering.h"
+#include "testing/answering_endpoint.h"
 #include "testing/program_main.h"
-#include "testing/running.h"
+#include "testing/sidecar_process.h"
 
 namespace puffinvane::test {
 namespace {
@@ -23,7 +23,7 @@
   return options;
 }
 
-// A sidecar before one endpoint; its output is the pipe.
+// A sidecar in front of one endpoint, with the pipe as its output.
 class FullLogPipe : public testing::Test {
  protected:
   FullLogPipe() {
@@ -39,9 +39,9 @@
     }
   }
   int ask_admin(const std::string& path) const {
-    TestConnection line(loopback_address(3) + ":5003");
-    line.send_text("GET " + path + " HTTP/1.1\r\n\r\n");
-    return line.response_status();
+    TestConnection connection(loopback_address(3) + ":5003");
+    connection.send_text("GET " + path + " HTTP/1.1\r\n\r\n");
+    return connection.response_status();
   }
 
   AnsweringEndpoint endpoint_{2};
@@ -68,7 +68,7 @@
   constexpr int kReloads = 4;
   log_.fill();
   reload(kReloads);
-  std::string text = log_.read_all();  // lines may come while it is still being read
+  std::string text = log_.read_all();  // lines may arrive during this read
   int lines = 0;
   const std::string line = "reloads its configuration";
 
@@ -82,11 +82,11 @@
 }
 
 TEST_F(FullLogPipe, DroppedLinesAreCountedInTelemetry) {
-  TestConnection line(loopback_address(3) + ":5003");
+  TestConnection connection(loopback_address(3) + ":5003");
 
-  line.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
+  connection.send_text("GET /api/telemetry HTTP/1.1\r\n\r\n");
 
-  std::optional<HttpMessage> answer = line.receive_message(HttpReader::Side::Response);
+  std::optional<HttpMessage> answer = connection.receive_message(HttpReader::Side::Response);
   ASSERT_TRUE(answer);
   EXPECT_NE(answer->body.text().find("\nsidecar_log_lines_dropped_total 0\n"), std::string::npos)
       << answer->body.text();
@@ -109,7 +109,7 @@
   LogPipe log;
   log.fill();
   SidecarProcess::Options options = logging_options();
-  options.number = 1;  // it is not waited for
+  options.number = 1;  // the constructor does not wait for it to serve
   options.rules = "{";
   auto inherited = std::make_unique<InheritedOutput>(log);
 
@@ -119,7 +119,7 @@
   EXPECT_EQ(sidecar.exit_code(3), 1);
 }
 
-// The server of a site, as a child whose output is the pipe.
+// A child process that serves a site file, with the pipe as its output.
 class SiteServer {
  public:
   SiteServer(const std::string& listen, const std::string& endpoint, const LogPipe& log)
