--- a/src/admin/override_controller_test.cpp
+++ b/src/admin/override_controller_test.cpp
@@ -1,12 +1,12 @@
 // Tests of operator overrides without sockets, on a host that records its calls.
 #undef NDEBUG
+#include "src/admin/override_controller.h"
+
 #include <cassert>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "src/admin/override_controller.h"
-
 using namespace puffinvane;
 
 namespace {
--- a/src/config/site/site.cpp
+++ b/src/config/site/site.cpp
@@ -10,7 +10,7 @@
 namespace {
 // Seconds that are reserved for a response to reach the client.
 constexpr double kRoundTrip = 0.005;
-}
+}  // namespace
 
 Deployment deployment_of(const Site& site, const Pool& pool) {
   Deployment deployment;
